--- a/lab/policies.py
+++ b/lab/policies.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-from plantaingrade.balance.entity import Room
+from plantaingrade.balance.entity import FreeCapacity
 from plantaingrade.peers.entity import Member
 
 PRESENT = 'present'
@@ -55,7 +55,7 @@
 
 async def _async_ask_nobody(
     members: Sequence[Member], kind: str, priority: int
-) -> dict[str, Room]:
+) -> dict[str, FreeCapacity]:
     return {}
 
 
@@ -72,9 +72,9 @@
     _without('crossing', 'requests.placing', 'FAR_PART', 0.0),
     _without('spill', 'requests.coordinator', 'MAX_SPILLS', 0),
     _without('ejection', 'requests.placing', 'MAX_EXCESS_FAILURES', 1.0),
-    _without('brief-first', 'admission.slots', 'BRIEF_PART', 0.0),
+    _without('brief-first', 'admission.slots', 'MAX_BRIEF_FRACTION', 0.0),
     _without('moves', 'balance.policy', 'MIN_LOAD_TO_MOVE', NEVER),
     _without('idle-telling', 'balance.coordinator', 'IDLE_LOAD', 0.0),
-    _without('move-pauses', 'balance.pauses', 'MAX_PAUSE_S', 0.0),
+    _without('move-pauses', 'balance.backoff', 'MAX_PAUSE_S', 0.0),
 )
 POLICY_BY_NAME = {policy.name: policy for policy in POLICIES}
--- a/lab/troubles.py
+++ b/lab/troubles.py
@@ -41,7 +41,7 @@
         await asyncio.sleep(down.for_s)
         for instance in chosen:
             instance.life.state = LifeState.READY
-            instance.balance.stay()
+            instance.balance.resume()
 
     def _draw(self, service: str, share: float) -> list[Instance]:
         servers = [
--- a/lab/world.py
+++ b/lab/world.py
@@ -12,12 +12,12 @@
 from lab.deployment import Deployment, Kind, Service
 from lab.keys import LabHolds, SharedMap
 from plantaingrade.admission.gate import Gate
-from plantaingrade.admission.repeats import RepeatBudget
+from plantaingrade.admission.service_retries import ServiceRetryBudget
 from plantaingrade.backends.life import BackendLife, LifeState
-from plantaingrade.balance.book import LoadBook
 from plantaingrade.balance.coordinator import BalanceCoordinator
-from plantaingrade.balance.entity import Load, Room
-from plantaingrade.balance.others import LEAVING_SHARE, Others
+from plantaingrade.balance.entity import FreeCapacity, Load
+from plantaingrade.balance.peer_loads import PeerLoads
+from plantaingrade.balance.service_peers import LEAVING_SHARE, ServicePeers
 from plantaingrade.config.entity import (
     Limits,
     Route,
@@ -71,12 +71,12 @@
         return await self._instance.async_work(routed)
 
 
-class LabOthers(Others):
+class LabOthers(ServicePeers):
     """The members that may take keys; none has a row in the lab."""
 
-    def takers(self, now: float) -> dict[str, Load]:
+    def receivers(self, now: float) -> dict[str, Load]:
         """Return the members that have told their loads."""
-        loads = {name: self.book.find(name, now) for name in self.names()}
+        loads = {name: self.loads.find(name, now) for name in self.names()}
         return {
             name: load
             for name, load in loads.items()
@@ -103,12 +103,12 @@
         load = other.balance.load()
         await asyncio.sleep(way_s)
         now = asyncio.get_running_loop().time()
-        self._own.loads.note(member.name, load, now)
+        self._own.loads.record(member.name, load, now)
         return outcome
 
     async def async_ask_rooms(
         self, members: Sequence[Member], kind: str, priority: int
-    ) -> dict[str, Room]:
+    ) -> dict[str, FreeCapacity]:
         """Ask members for their room, as by datagram."""
         others = [self._world.instance_by_name[each.name] for each in members]
         if not others:
@@ -158,7 +158,7 @@
         self.speed = service.speeds[place % len(service.speeds)]
         name = f'{service.name}@{place}'
         self.member = Member(name, service.name, zone, f'{name}:1', name)
-        self.loads = LoadBook()
+        self.loads = PeerLoads()
         self.slow_times = 1.0
         self.random = random.Random(f'{name}/{world.seed}')
         self.peers = LabPeers(self)
@@ -216,7 +216,7 @@
             ),
             self.server,
             self.peers,
-            RepeatBudget(RETRY_RATIO, RETRY_SLACK, RETRY_WINDOW_S),
+            ServiceRetryBudget(RETRY_RATIO, RETRY_SLACK, RETRY_WINDOW_S),
             clock,
             log,
             _nothing,
@@ -225,7 +225,7 @@
     def hear_load(self, other: 'Instance', load: Load) -> None:
         """Take a load that another instance told."""
         now = asyncio.get_running_loop().time()
-        self.loads.note(other.member.name, load, now)
+        self.loads.record(other.member.name, load, now)
 
     async def async_work(self, routed: RoutedRequest) -> Outcome:
         """Run one request at the server, with the calls that it makes."""
--- a/plantaingrade/admission/cold.py
+++ b/plantaingrade/admission/cold.py
@@ -50,15 +50,15 @@
         self._tokens = 0.0
         self._seen_at = 0.0
 
-    def limit_to(self, limit: ColdLimit | None) -> None:
+    def apply_limit(self, limit: ColdLimit | None) -> None:
         """Follow what is declared for the service."""
         self._limit = limit
 
-    def stay_cold(self, until: float) -> None:
+    def mark_cold_until(self, until: float) -> None:
         """Take how long the server says it stays cold."""
         self._cold_until = until
 
-    def is_bound(self, now: float) -> bool:
+    def is_limited(self, now: float) -> bool:
         """Tell whether the server is cold and its limit is known."""
         return self._limit is not None and now < self._cold_until
 
@@ -69,7 +69,7 @@
 
     def wait_s(self, now: float, ahead: int = 0) -> float:
         """Return the time until one more may be sent, after some others."""
-        if self._limit is None or not self.is_bound(now):
+        if self._limit is None or not self.is_limited(now):
             return 0.0
         self._refill(now)
         missing = 1 + ahead - self._tokens
@@ -81,7 +81,7 @@
 
     def slots(self, slots: int, work_s: float, now: float) -> float:
         """Return how many of its slots the server can keep busy."""
-        if self._limit is None or not self.is_bound(now):
+        if self._limit is None or not self.is_limited(now):
             return slots
         return min(slots, self._limit.per_s * work_s)
 
--- a/plantaingrade/admission/queue.py
+++ b/plantaingrade/admission/queue.py
@@ -8,8 +8,8 @@
 
 from plantaingrade.admission.const import (
     LOWEST_PRIORITY,
+    MAX_QUEUED_PER_SLOT,
     PRIORITY_BY_CLASS,
-    QUEUE_PER_SLOT,
     RETRY_AFTER_S,
 )
 from plantaingrade.errors import PlantaingradeError
@@ -63,7 +63,7 @@
             self._leave()
 
     async def _wait(self, request_class: str) -> None:
-        if len(self) >= self.slots * QUEUE_PER_SLOT:
+        if len(self) >= self.slots * MAX_QUEUED_PER_SLOT:
             refusal = NotRun(NotRunReason.QUEUE_FULL, RETRY_AFTER_S)
             raise NotAdmittedError(refusal)
         turn = asyncio.get_running_loop().create_future()
--- a/plantaingrade/admission/repeats.py
+++ b/plantaingrade/admission/service_retries.py
@@ -16,7 +16,7 @@
 RESERVED_TOKENS = 1.0
 
 
-class RepeatBudget:
+class ServiceRetryBudget:
     """Allow repeats in proportion to requests.
 
     Repeats would double an overload. The platform bounds those of all processes
--- a/plantaingrade/admission/slots.py
+++ b/plantaingrade/admission/slots.py
@@ -33,7 +33,7 @@
 MIN_REST = 0.15
 # Part of the longest kind of work up to which work counts as brief: on a server
 # with nine slots it holds the others up by a thirtieth of that kind's time.
-BRIEF_PART = 0.3
+MAX_BRIEF_FRACTION = 0.3
 # Shortest pause before waiting tickets are looked at again, in seconds: timers
 # fire a millisecond late, and one that fires early would find nothing.
 MIN_REFILL_S = 0.002
@@ -253,7 +253,7 @@
         It keeps its place for as long as it may be answered.
         """
         work_s = self.estimate.expected_s(kind)
-        return work_s <= BRIEF_PART * self.estimate.longest_s()
+        return work_s <= MAX_BRIEF_FRACTION * self.estimate.longest_s()
 
     def _wait_in_time(self, ticket: Ticket, now: float) -> float:
         """Predict the wait behind what goes first.
--- a/plantaingrade/balance/pauses.py
+++ b/plantaingrade/balance/backoff.py
@@ -13,7 +13,7 @@
 MAX_PAUSE_S = 4.0
 
 
-class MovePauses:
+class MoveBackoff:
     """Pauses that double with each move that is not done."""
 
     __slots__ = ('_chance', '_pause_s')
--- a/plantaingrade/balance/coordinator.py
+++ b/plantaingrade/balance/coordinator.py
@@ -6,6 +6,7 @@
 
 from plantaingrade.admission.slots import SlotQueue
 from plantaingrade.backends.life import BackendLife
+from plantaingrade.balance.backoff import MoveBackoff
 from plantaingrade.balance.const import (
     IDLE_LOAD,
     IDLE_TELL_S,
@@ -15,9 +16,12 @@
 )
 from plantaingrade.balance.entity import Load, Move
 from plantaingrade.balance.meter import LoadMeter
-from plantaingrade.balance.others import LEAVING_SHARE, NO_LOAD, Others
-from plantaingrade.balance.pauses import MovePauses
 from plantaingrade.balance.policy import choose_moves, share_out
+from plantaingrade.balance.service_peers import (
+    LEAVING_SHARE,
+    NO_LOAD,
+    ServicePeers,
+)
 from plantaingrade.clock import Clock
 from plantaingrade.eventlog import EventLog
 from plantaingrade.holds.coordinator import HoldCoordinator
@@ -48,7 +52,7 @@
         holds: HoldCoordinator,
         life: BackendLife,
         queue: SlotQueue,
-        others: Others,
+        others: ServicePeers,
         offers: Offers,
         teller: Teller,
         clock: Clock,
@@ -70,7 +74,7 @@
         self._rests_until = 0.0
         self._settled_at: dict[KeyRange, float] = {}
         self._random = random.Random(own.boot)
-        self._pauses = MovePauses(self._random)
+        self._pauses = MoveBackoff(self._random)
         self.is_leaving = False
         self.is_drained = False
 
@@ -121,7 +125,7 @@
         self._holds.registry.takes_keys = False
         self._teller.tell_load(self.load(), self._others.names())
 
-    def stay(self) -> None:
+    def resume(self) -> None:
         """Take keys again: the server has begun a new life.
 
         A server that an operator has drained stays without keys.
@@ -153,7 +157,7 @@
         if not ranges or not await self._holds.async_is_store_there():
             return
         now = self._clock.now()
-        load_by_member = self._others.takers(now)
+        load_by_member = self._others.receivers(now)
         target_by_keys = share_out(
             ranges, self._meter.by_key(now), load_by_member
         )
@@ -180,7 +184,7 @@
             return
         loads = {
             name: load
-            for name, load in self._others.takers(now).items()
+            for name, load in self._others.receivers(now).items()
             if load is not NO_LOAD
         }
         moves = choose_moves(
@@ -207,11 +211,11 @@
         )
         reply = await self._offers.async_offer(move.target, offer)
         if reply is None:
-            self._others.book.forget(move.target)
+            self._others.loads.forget(move.target)
             return None
         now = self._clock.now()
         told = Load(reply.share, reply.work_s, reply.slots)
-        self._others.book.note(move.target, told, now)
+        self._others.loads.record(move.target, told, now)
         self._log.write(
             'move-offered',
             first=move.keys.first,
--- a/plantaingrade/balance/entity.py
+++ b/plantaingrade/balance/entity.py
@@ -18,7 +18,7 @@
     slots: int
 
 
-class Room(Struct, frozen=True):
+class FreeCapacity(Struct, frozen=True):
     """How soon a server could run one more request, in seconds.
 
     ``wait_s`` is the expected wait for a slot, ``work_s`` how long such a
@@ -30,7 +30,7 @@
     failures: float = 0.0
 
     @property
-    def ends_in_s(self) -> float:
+    def completion_s(self) -> float:
         """Return when the request would have ended."""
         return self.wait_s + self.work_s
 
--- a/plantaingrade/balance/book.py
+++ b/plantaingrade/balance/peer_loads.py
@@ -4,7 +4,7 @@
 from plantaingrade.balance.entity import Load
 
 
-class LoadBook:
+class PeerLoads:
     """Newest load of each member, with its age."""
 
     __slots__ = ('_seen_by_member',)
@@ -13,7 +13,7 @@
         """Know nothing."""
         self._seen_by_member: dict[str, tuple[Load, float]] = {}
 
-    def note(self, member: str, load: Load, now: float) -> None:
+    def record(self, member: str, load: Load, now: float) -> None:
         """Take what a member said of its load."""
         self._seen_by_member[member] = (load, now)
 
--- a/plantaingrade/balance/others.py
+++ b/plantaingrade/balance/service_peers.py
@@ -2,8 +2,8 @@
 
 import random
 
-from plantaingrade.balance.book import LoadBook
 from plantaingrade.balance.entity import Load
+from plantaingrade.balance.peer_loads import PeerLoads
 from plantaingrade.holds.plans import live_members
 from plantaingrade.holds.registry import Registry
 from plantaingrade.peers.directory import Directory
@@ -21,7 +21,7 @@
 NO_LOAD = Load(0.5, 0.0, 1)
 
 
-class Others:
+class ServicePeers:
     """Other members of the own service."""
 
     __slots__ = (
@@ -29,7 +29,7 @@
         '_leaving_since_by_name',
         '_own',
         '_registry',
-        'book',
+        'loads',
     )
 
     def __init__(
@@ -37,14 +37,14 @@
         own: Member,
         registry: Registry,
         directory: Directory,
-        book: LoadBook,
+        loads: PeerLoads,
     ) -> None:
         """Know them by rows in the store, by messages and by their loads."""
         self._own = own
         self._registry = registry
         self._directory = directory
         self._leaving_since_by_name: dict[str, float] = {}
-        self.book = book
+        self.loads = loads
 
     def names(self) -> list[str]:
         """Return all other members of the service."""
@@ -89,22 +89,22 @@
         )
 
     def _is_leaving(self, name: str, now: float) -> bool:
-        load = self.book.find(name, now)
+        load = self.loads.find(name, now)
         return load is not None and load.share >= LEAVING_SHARE
 
-    def takers(self, now: float) -> dict[str, Load]:
+    def receivers(self, now: float) -> dict[str, Load]:
         """Return the members that may take keys."""
         rows = live_members(self._registry)
-        takers: dict[str, Load] = {}
+        receivers: dict[str, Load] = {}
         for name in self.names():
-            load = self.book.find(name, now)
+            load = self.loads.find(name, now)
             if load is None and name in rows:
                 load = NO_LOAD
             is_out = self._directory.is_suspect(name, now)
             if load is not None and not is_out:
-                takers[name] = load
+                receivers[name] = load
         return {
             name: load
-            for name, load in takers.items()
+            for name, load in receivers.items()
             if load.share < LEAVING_SHARE
         }
--- a/plantaingrade/operators/desk.py
+++ b/plantaingrade/operators/desk.py
@@ -8,7 +8,7 @@
 from msgspec.structs import asdict, replace
 
 from plantaingrade.backends.report import ServerLife
-from plantaingrade.balance.book import LoadBook
+from plantaingrade.balance.peer_loads import PeerLoads
 from plantaingrade.clock import Clock
 from plantaingrade.config.coordinator import ConfigFollower
 from plantaingrade.holds.coordinator import HoldCoordinator
@@ -117,7 +117,7 @@
         own: Member,
         directory: Directory,
         maps: KeyMaps,
-        loads: LoadBook,
+        loads: PeerLoads,
         config: ConfigFollower,
         holds: HoldCoordinator,
         calls: PeerCalls,
--- a/plantaingrade/peers/coordinator.py
+++ b/plantaingrade/peers/coordinator.py
@@ -6,8 +6,8 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from plantaingrade.balance.book import LoadBook
-from plantaingrade.balance.entity import Load, Room
+from plantaingrade.balance.entity import FreeCapacity, Load
+from plantaingrade.balance.peer_loads import PeerLoads
 from plantaingrade.clock import Clock
 from plantaingrade.codec import Codec, MalformedMessageError
 from plantaingrade.datagrams import TypedEndpoint
@@ -68,7 +68,7 @@
     services: Callable[[], Iterable[str]]
     on_wish: Callable[[Wish], None]
     on_crash: Callable[[tuple[str, ...]], None]
-    room_of: Callable[[str, int], Room | None]
+    room_of: Callable[[str, int], FreeCapacity | None]
 
 
 class PeerCoordinator:
@@ -104,7 +104,7 @@
         calls: PeerCalls,
         clock: Clock,
         log: EventLog,
-        loads: LoadBook,
+        loads: PeerLoads,
         hooks: PeerHooks,
     ) -> None:
         """Know nobody yet."""
@@ -323,7 +323,7 @@
 
     def _on_load(self, told: LoadTold) -> None:
         load = Load(told.share, told.work_s, told.slots)
-        self._loads.note(told.name, load, self._clock.now())
+        self._loads.record(told.name, load, self._clock.now())
 
     def _on_passed(self, passed: Passed, word: Word) -> None:
         """Take a word that is meant for the whole zone."""
--- a/plantaingrade/peers/rooms.py
+++ b/plantaingrade/peers/rooms.py
@@ -6,7 +6,7 @@
 
 from msgspec.structs import replace
 
-from plantaingrade.balance.entity import Room
+from plantaingrade.balance.entity import FreeCapacity
 from plantaingrade.clock import Clock
 from plantaingrade.const import MS_PER_S, PERCENT
 from plantaingrade.datagrams import TypedEndpoint
@@ -17,7 +17,7 @@
     is_address,
 )
 
-RoomOf = Callable[[str, int], Room | None]
+RoomOf = Callable[[str, int], FreeCapacity | None]
 # Longest wait for answers, in seconds: the way there and back between
 # availability zones takes 3 ms, and a busy process some milliseconds more.
 ANSWER_LIMIT_S = 0.012
@@ -33,10 +33,10 @@
     def __init__(self, names: set[str]) -> None:
         """Wait for the answers of the members named."""
         self.open_names = names
-        self.room_by_name: dict[str, Room] = {}
+        self.room_by_name: dict[str, FreeCapacity] = {}
         self.ended = asyncio.get_running_loop().create_future()
 
-    def on_told(self, name: str, room: Room | None) -> None:
+    def on_told(self, name: str, room: FreeCapacity | None) -> None:
         """Take an answer."""
         if name not in self.open_names:
             return
@@ -83,7 +83,7 @@
 
     async def async_ask(
         self, members: Sequence[Member], kind: str, priority: int
-    ) -> dict[str, Room]:
+    ) -> dict[str, FreeCapacity]:
         """Return the room of those members that answer in time."""
         room_by_name = self._own_room(members, kind, priority)
         others = [
@@ -130,7 +130,7 @@
             return
         room = None
         if told.wait_ms is not None:
-            room = Room(
+            room = FreeCapacity(
                 told.wait_ms / MS_PER_S,
                 told.work_ms / MS_PER_S,
                 told.failed / PERCENT,
@@ -139,7 +139,7 @@
 
     def _own_room(
         self, members: Sequence[Member], kind: str, priority: int
-    ) -> dict[str, Room]:
+    ) -> dict[str, FreeCapacity]:
         """Return the room of the own server if it is among those asked."""
         if all(member.name != self._own.name for member in members):
             return {}
@@ -148,7 +148,7 @@
 
     async def _async_ask(
         self, members: Sequence[Member], kind: str, priority: int
-    ) -> dict[str, Room]:
+    ) -> dict[str, FreeCapacity]:
         number = next(self._numbers)
         inquiry = RoomInquiry({member.name for member in members})
         self._inquiry_by_number[number] = inquiry
--- a/plantaingrade/requests/coordinator.py
+++ b/plantaingrade/requests/coordinator.py
@@ -5,7 +5,7 @@
 
 from msgspec import Struct, field
 
-from plantaingrade.admission.repeats import RepeatBudget
+from plantaingrade.admission.service_retries import ServiceRetryBudget
 from plantaingrade.clock import Clock
 from plantaingrade.config.coordinator import ConfigFollower
 from plantaingrade.const import MS_PER_S
@@ -110,7 +110,7 @@
         targets: TargetChooser,
         server: ServerPath,
         peers: PeerPath,
-        budget: RepeatBudget,
+        budget: ServiceRetryBudget,
         clock: Clock,
         log: EventLog,
         on_done: Callable[[RoutedRequest, Outcome, float], None],
--- a/plantaingrade/requests/peer_path.py
+++ b/plantaingrade/requests/peer_path.py
@@ -5,7 +5,7 @@
 
 from msgspec.structs import replace
 
-from plantaingrade.balance.book import LoadBook
+from plantaingrade.balance.peer_loads import PeerLoads
 from plantaingrade.clock import Clock
 from plantaingrade.eventlog import EventLog
 from plantaingrade.http.channel import ChannelClosedError
@@ -49,7 +49,7 @@
     def __init__(
         self,
         directory: Directory,
-        loads: LoadBook,
+        loads: PeerLoads,
         pool: Pool,
         clock: Clock,
         known: Callable[[str], Known],
@@ -116,7 +116,7 @@
         headers = whole.head.headers
         load = decode_load(headers)
         if load is not None:
-            self._loads.note(member.name, load, self._clock.now())
+            self._loads.record(member.name, load, self._clock.now())
         return decode_outcome(
             Answer(whole.head.status_code, headers, whole.body)
         )
--- a/plantaingrade/requests/placing.py
+++ b/plantaingrade/requests/placing.py
@@ -14,7 +14,7 @@
 
 from msgspec import Struct
 
-from plantaingrade.balance.entity import Load, Room
+from plantaingrade.balance.entity import FreeCapacity, Load
 from plantaingrade.peers.entity import Member
 
 # Load from which part of the requests leave the zone. Below it hardly anything
@@ -90,7 +90,7 @@
     return chance.sample(sound, min(len(sound), ASKED_COUNT))
 
 
-def soonest(room_by_name: Mapping[str, Room]) -> str | None:
+def soonest(room_by_name: Mapping[str, FreeCapacity]) -> str | None:
     """Return the sound member at which a request would end first."""
     if not room_by_name:
         return None
@@ -100,17 +100,17 @@
         for name, room in room_by_name.items()
         if room.failures <= least + MAX_EXCESS_FAILURES
     ]
-    return min(sound, key=lambda name: room_by_name[name].ends_in_s)
+    return min(sound, key=lambda name: room_by_name[name].completion_s)
 
 
-def is_near_enough(room: Room, due_in_s: float) -> bool:
+def is_near_enough(room: FreeCapacity, due_in_s: float) -> bool:
     """Tell whether a request stays in its zone without further questions."""
-    return room.ends_in_s <= SAFE_PART * due_in_s
+    return room.completion_s <= SAFE_PART * due_in_s
 
 
-def is_worth_crossing(near: Room, far: Room) -> bool:
+def is_worth_crossing(near: FreeCapacity, far: FreeCapacity) -> bool:
     """Tell whether a request goes to another zone for a sooner end."""
-    return far.ends_in_s < FAR_PART * near.ends_in_s
+    return far.completion_s < FAR_PART * near.completion_s
 
 
 def choose_after_refusal(
--- a/plantaingrade/requests/server_path.py
+++ b/plantaingrade/requests/server_path.py
@@ -8,7 +8,7 @@
 from plantaingrade.admission.gate import Gate, RefusedError
 from plantaingrade.admission.slots import Ticket
 from plantaingrade.backends.life import BackendLife
-from plantaingrade.balance.entity import Room
+from plantaingrade.balance.entity import FreeCapacity
 from plantaingrade.clock import Clock
 from plantaingrade.const import MS_PER_S
 from plantaingrade.eventlog import EventLog
@@ -126,7 +126,7 @@
         self._clock = clock
         self._log = log
 
-    def room(self, kind: str, priority: int) -> Room | None:
+    def room(self, kind: str, priority: int) -> FreeCapacity | None:
         """Return how soon the server could run a request without a key."""
         is_closed = self.is_closed or self.is_evacuated or self.is_drained
         if is_closed or not self._life.takes_work:
@@ -135,7 +135,7 @@
         if now < self._unreached_until:
             return None
         queue = self._gate.queue
-        return Room(
+        return FreeCapacity(
             queue.expected_wait_s(kind, priority, now),
             queue.estimate.expected_s(kind),
             self._failures.rate(self._life.instance, now),
--- a/plantaingrade/requests/targets.py
+++ b/plantaingrade/requests/targets.py
@@ -3,7 +3,7 @@
 import random
 from collections.abc import Awaitable, Callable, Sequence
 
-from plantaingrade.balance.entity import Load, Room
+from plantaingrade.balance.entity import FreeCapacity, Load
 from plantaingrade.clock import Clock
 from plantaingrade.keyspace.directory import KeyMaps
 from plantaingrade.peers.directory import Directory
@@ -21,7 +21,9 @@
 )
 
 LoadOf = Callable[[str, float], Load | None]
-AskRooms = Callable[[Sequence[Member], str, int], Awaitable[dict[str, Room]]]
+AskRooms = Callable[
+    [Sequence[Member], str, int], Awaitable[dict[str, FreeCapacity]]
+]
 
 
 class TargetChooser:
@@ -172,7 +174,7 @@
 
     async def _async_rooms(
         self, routed: RoutedRequest, places: Sequence[Place]
-    ) -> dict[str, Room]:
+    ) -> dict[str, FreeCapacity]:
         asked = choose_to_ask(places, self._random)
         members = [place.member for place in asked]
         return await self._ask_rooms(members, routed.kind, routed.priority)
--- a/plantaingrade/sidecar/effects.py
+++ b/plantaingrade/sidecar/effects.py
@@ -32,7 +32,7 @@
         self._server.idle_s = config.limits.idle_timeout_s
         self._front.limits = config.limits
         service = config.service_by_name.get(self._service)
-        self._cold.limit_to(self._cold_limit(service))
+        self._cold.apply_limit(self._cold_limit(service))
 
     def _cold_limit(self, service: ServiceConfig | None) -> ColdLimit | None:
         if service is None or service.cold_per_s is None:
--- a/plantaingrade/sidecar/gauges.py
+++ b/plantaingrade/sidecar/gauges.py
@@ -36,7 +36,7 @@
     show(
         'server_cold',
         'Whether the server is cold, and gets less for it.',
-        lambda: queue.cold.is_bound(clock.now()),
+        lambda: queue.cold.is_limited(clock.now()),
     )
     show(
         'server_evacuated',
--- a/plantaingrade/sidecar/process.py
+++ b/plantaingrade/sidecar/process.py
@@ -6,12 +6,12 @@
 from types import TracebackType
 
 from plantaingrade.admission.gate import Gate
-from plantaingrade.admission.repeats import RepeatBudget
+from plantaingrade.admission.service_retries import ServiceRetryBudget
 from plantaingrade.backends.life import BackendLife
-from plantaingrade.balance.book import LoadBook
 from plantaingrade.balance.coordinator import BalanceCoordinator
 from plantaingrade.balance.entity import Load
-from plantaingrade.balance.others import Others
+from plantaingrade.balance.peer_loads import PeerLoads
+from plantaingrade.balance.service_peers import ServicePeers
 from plantaingrade.clock import Clock
 from plantaingrade.config.coordinator import ConfigFollower
 from plantaingrade.config.evacuations import Evacuations
@@ -157,7 +157,7 @@
         self._directory = Directory()
         self._figures = Figures()
         self._log.count_by(self._figures.on_event)
-        self._loads = LoadBook()
+        self._loads = PeerLoads()
         self._life = BackendLife(settings.bounds.drain_s * FINISH_PART)
         self._config = ConfigFollower(
             self._direct_store,
@@ -220,7 +220,7 @@
             self.holds,
             self._life,
             self._gate.queue,
-            Others(
+            ServicePeers(
                 self._own, self.holds.registry, self._directory, self._loads
             ),
             self._calls,
@@ -274,7 +274,7 @@
             targets,
             self._server_path,
             peer_path,
-            RepeatBudget(
+            ServiceRetryBudget(
                 bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s
             ),
             self._clock,
@@ -291,7 +291,7 @@
                 self._on_new_life,
                 self._balance.leave,
                 self._gate.resize,
-                self._gate.queue.cold.stay_cold,
+                self._gate.queue.cold.mark_cold_until,
             ),
             self._config,
             self._clock,
@@ -458,7 +458,7 @@
         self._server_path.on_new_life()
         self.holds.on_new_life()
         if not self._is_leaving:
-            self._balance.stay()
+            self._balance.resume()
 
     def _on_store_epoch(self, epoch: int, before: int | None) -> None:
         self._log.write('store-epoch', epoch=epoch, before=before)
--- a/plantaingrade/sidecar/retreat.py
+++ b/plantaingrade/sidecar/retreat.py
@@ -130,4 +130,4 @@
         if is_drained:
             self._balance.leave()
         elif self._may_take_keys():
-            self._balance.stay()
+            self._balance.resume()
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -6,7 +6,7 @@
 from plantaingrade.admission.const import (
     CLASS_AVAILABILITY,
     CLASS_DEFAULT,
-    QUEUE_PER_SLOT,
+    MAX_QUEUED_PER_SLOT,
     RETRY_TOKENS_MAX,
 )
 from plantaingrade.admission.queue import AdmissionQueue, NotAdmittedError
@@ -41,7 +41,7 @@
     async def story() -> None:
         queue = AdmissionQueue(1)
         async with asyncio.TaskGroup() as group, queue.slot(CLASS_DEFAULT):
-            for _ in range(QUEUE_PER_SLOT):
+            for _ in range(MAX_QUEUED_PER_SLOT):
                 group.create_task(_pass(queue))
             await asyncio.sleep(0)
             late = asyncio.ensure_future(_pass(queue))
--- a/tests/admission/test_cold.py
+++ b/tests/admission/test_cold.py
@@ -39,7 +39,7 @@
     sent: list[float] = []
     refused = 0
     queue = SlotQueue(SLOTS, WorkEstimate())
-    queue.cold.limit_to(limit())
+    queue.cold.apply_limit(limit())
     clock = LoopClock()
     gate = Gate(queue, clock)
 
@@ -59,7 +59,7 @@
         while clock.now() < began + cold_from + COLD_S:
             await asyncio.sleep(chance.expovariate(per_s))
             if clock.now() >= began + cold_from:
-                queue.cold.stay_cold(began + cold_from + COLD_S)
+                queue.cold.mark_cold_until(began + cold_from + COLD_S)
             tasks.append(asyncio.create_task(ask(clock.now())))
         await asyncio.gather(*tasks)
         nonlocal sent
@@ -95,16 +95,16 @@
     of what it had within the same second.
     """
     allowance = ColdAllowance()
-    allowance.limit_to(limit())
+    allowance.apply_limit(limit())
     for step in range(20):
         allowance.spend(step / 20)
-    allowance.stay_cold(4.0)
+    allowance.mark_cold_until(4.0)
     assert allowance.wait_s(1.0) == pytest.approx(1 / 9, abs=0.12)
 
 
 def test_a_warm_server_is_not_bound() -> None:
     allowance = ColdAllowance()
-    allowance.limit_to(limit())
+    allowance.apply_limit(limit())
     for _ in range(100):
         allowance.spend(1.0)
     assert allowance.wait_s(1.0) == 0
@@ -113,22 +113,22 @@
 
 def test_a_service_without_a_limit_is_not_bound() -> None:
     allowance = ColdAllowance()
-    allowance.stay_cold(100.0)
+    allowance.mark_cold_until(100.0)
     assert allowance.wait_s(1.0) == 0
 
 
 def test_a_server_that_takes_nothing_while_cold_gets_nothing() -> None:
     allowance = ColdAllowance()
-    allowance.limit_to(ColdLimit(0.0, 0.0))
-    allowance.stay_cold(5.0)
+    allowance.apply_limit(ColdLimit(0.0, 0.0))
+    allowance.mark_cold_until(5.0)
     assert allowance.wait_s(2.0) == pytest.approx(3.0)
 
 
 def test_who_cannot_be_served_by_a_cold_server_is_refused_at_once() -> None:
     """Ten requests come at once, and the ninth would wait beyond its end."""
     queue = SlotQueue(100, WorkEstimate())
-    queue.cold.limit_to(limit())
-    queue.cold.stay_cold(100.0)
+    queue.cold.apply_limit(limit())
+    queue.cold.mark_cold_until(100.0)
     tickets = [Ticket('a', 1, 10.5, 10.3) for _ in range(20)]
     verdicts = [queue.offer(each, 10.0) for each in tickets]
     started = sum(isinstance(each, Start) for each in verdicts)
@@ -141,16 +141,16 @@
     """Others weigh what to send by the slots that it can keep busy."""
     queue = SlotQueue(12, WorkEstimate())
     queue.estimate.observe('a', 0.1)
-    queue.cold.limit_to(limit())
-    queue.cold.stay_cold(5.0)
+    queue.cold.apply_limit(limit())
+    queue.cold.mark_cold_until(5.0)
     assert queue.usable_slots(1.0) == pytest.approx(0.9)
     assert queue.usable_slots(6.0) == 12
 
 
 def test_waits_grow_with_those_ahead() -> None:
     allowance = ColdAllowance()
-    allowance.limit_to(limit())
-    allowance.stay_cold(100.0)
+    allowance.apply_limit(limit())
+    allowance.mark_cold_until(100.0)
     allowance.spend(1.0)
     waits = [allowance.wait_s(1.0, ahead) for ahead in range(12)]
     assert all(first <= second for first, second in pairwise(waits))
--- a/tests/admission/test_repeats.py
+++ b/tests/admission/test_repeats.py
@@ -1,6 +1,6 @@
 """The budget of repeats."""
 
-from plantaingrade.admission.repeats import RepeatBudget
+from plantaingrade.admission.service_retries import ServiceRetryBudget
 
 RATIO = 0.2
 SLACK = 58.0
@@ -16,7 +16,7 @@
     processes, per_s = 10, 65
     repeats = 0
     for _ in range(processes):
-        budget = RepeatBudget(RATIO, SLACK, WINDOW_S)
+        budget = ServiceRetryBudget(RATIO, SLACK, WINDOW_S)
         for number in range(int(per_s * WINDOW_S)):
             budget.on_request('s', processes, number / per_s)
             repeats += budget.try_spend('s', 0)
@@ -25,7 +25,7 @@
 
 
 def test_the_most_urgent_class_spends_last_of_all() -> None:
-    budget = RepeatBudget(RATIO, SLACK, WINDOW_S)
+    budget = ServiceRetryBudget(RATIO, SLACK, WINDOW_S)
     assert budget.try_spend('s', 2)
     assert not budget.try_spend('s', 2)
     assert budget.try_spend('s', 0)
@@ -33,7 +33,7 @@
 
 
 def test_services_have_budgets_of_their_own() -> None:
-    budget = RepeatBudget(RATIO, SLACK, WINDOW_S)
+    budget = ServiceRetryBudget(RATIO, SLACK, WINDOW_S)
     while budget.try_spend('s', 0):
         continue
     assert budget.try_spend('t', 0)
--- a/tests/balance/fleet.py
+++ b/tests/balance/fleet.py
@@ -17,10 +17,10 @@
 from plantaingrade.admission.estimate import WorkEstimate
 from plantaingrade.admission.slots import SlotQueue
 from plantaingrade.backends.life import BackendLife, LifeState
-from plantaingrade.balance.book import LoadBook
 from plantaingrade.balance.coordinator import BalanceCoordinator
 from plantaingrade.balance.entity import Load
-from plantaingrade.balance.others import TELL_COUNT
+from plantaingrade.balance.peer_loads import PeerLoads
+from plantaingrade.balance.service_peers import TELL_COUNT
 from plantaingrade.eventlog import EventLog
 from plantaingrade.holds.transfer import CROWDED_LIMIT_S
 from plantaingrade.holds.turns import TurnPauses
@@ -101,7 +101,7 @@
             key_map=self,
             turns=self.turns,
         )
-        self.book = LoadBook()
+        self.loads = PeerLoads()
         clock = LoopClock()
         estimate = WorkEstimate()
         estimate.observe('lookup', WORK_S)
@@ -132,8 +132,8 @@
         others = self.names()
         return chance.sample(others, min(TELL_COUNT, len(others)))
 
-    def takers(self, now: float) -> dict[str, Load]:
-        loads = self.book.fresh(now)
+    def receivers(self, now: float) -> dict[str, Load]:
+        loads = self.loads.fresh(now)
         loads.pop(self.name, None)
         return loads
 
@@ -141,7 +141,7 @@
         now = asyncio.get_running_loop().time()
         servers = self.fleet.servers
         for name in names:
-            servers[name].book.note(self.name, load, now)
+            servers[name].loads.record(self.name, load, now)
 
     async def async_offer(self, target: str, offer: Offer) -> OfferReply:
         await asyncio.sleep(STORE_WAY_S)
@@ -277,7 +277,7 @@
         load = owner.balance.load()
         self.seen.worst_shares.append(load.share)
         asker = self.servers[self.random.choice(names)]
-        asker.book.note(owner.name, load, now)
+        asker.loads.record(owner.name, load, now)
 
     def _draw_key(self) -> int:
         demand = self.demand
--- a/tests/balance/test_coordinator.py
+++ b/tests/balance/test_coordinator.py
@@ -10,11 +10,11 @@
 from plantaingrade.admission.estimate import WorkEstimate
 from plantaingrade.admission.slots import SlotQueue
 from plantaingrade.backends.life import BackendLife
-from plantaingrade.balance.book import LoadBook
 from plantaingrade.balance.const import LOOK_S, SETTLE_S
 from plantaingrade.balance.coordinator import BalanceCoordinator
 from plantaingrade.balance.entity import Load
-from plantaingrade.balance.others import LEAVING_SHARE
+from plantaingrade.balance.peer_loads import PeerLoads
+from plantaingrade.balance.service_peers import LEAVING_SHARE
 from plantaingrade.eventlog import EventLog
 from plantaingrade.holds.turns import TurnPauses
 from plantaingrade.keyspace.entity import Assignment, KeyRange
@@ -64,7 +64,7 @@
     """Three idle members that accept whatever is offered."""
 
     def __init__(self) -> None:
-        self.book = LoadBook()
+        self.loads = PeerLoads()
         self.load_by_name = {f's@{place}': IDLE for place in '234'}
 
     def names(self) -> list[str]:
@@ -76,7 +76,7 @@
     def listeners(self, _: random.Random) -> list[str]:
         return list(self.load_by_name)
 
-    def takers(self, _: float) -> dict[str, Load]:
+    def receivers(self, _: float) -> dict[str, Load]:
         return self.load_by_name
 
     async def async_offer(self, target: str, _: Offer) -> OfferReply:
--- a/tests/balance/test_listeners.py
+++ b/tests/balance/test_listeners.py
@@ -5,8 +5,12 @@
 
 import pytest
 
-from plantaingrade.balance.book import LoadBook
-from plantaingrade.balance.others import TELL_COUNT, TELL_FAR, Others
+from plantaingrade.balance.peer_loads import PeerLoads
+from plantaingrade.balance.service_peers import (
+    TELL_COUNT,
+    TELL_FAR,
+    ServicePeers,
+)
 from plantaingrade.peers.directory import Directory
 from plantaingrade.peers.entity import Member
 
@@ -22,7 +26,7 @@
     directory = Directory()
     for member in members:
         directory.add(member)
-    others = Others(members[0], SimpleNamespace(), directory, LoadBook())
+    others = ServicePeers(members[0], SimpleNamespace(), directory, PeerLoads())
     names = others.listeners(random.Random(1))
     assert len(set(names)) == len(names)
     zones = [directory.find(name).zone for name in names]
--- a/tests/balance/test_pauses.py
+++ b/tests/balance/test_pauses.py
@@ -2,16 +2,16 @@
 
 import random
 
-from plantaingrade.balance.pauses import (
+from plantaingrade.balance.backoff import (
     FIRST_PAUSE_S,
     MAX_PAUSE_S,
-    MovePauses,
+    MoveBackoff,
 )
 
 
 def test_pauses_grow_while_no_move_is_done_and_end_with_one() -> None:
     """Changes that always come too late stop the service of keys in vain."""
-    pauses = MovePauses(random.Random(1))
+    pauses = MoveBackoff(random.Random(1))
     longest_s = 0.0
     for _ in range(8):
         pause_s = pauses.on_moves(done=0, failed=1)
@@ -23,4 +23,4 @@
 
 
 def test_offers_that_are_turned_down_are_no_failures() -> None:
-    assert MovePauses(random.Random(1)).on_moves(done=0, failed=0) == 0
+    assert MoveBackoff(random.Random(1)).on_moves(done=0, failed=0) == 0
--- a/tests/balance/test_yield.py
+++ b/tests/balance/test_yield.py
@@ -2,9 +2,13 @@
 
 from types import SimpleNamespace
 
-from plantaingrade.balance.book import LoadBook
 from plantaingrade.balance.entity import Load
-from plantaingrade.balance.others import LEAVING_SHARE, YIELD_S, Others
+from plantaingrade.balance.peer_loads import PeerLoads
+from plantaingrade.balance.service_peers import (
+    LEAVING_SHARE,
+    YIELD_S,
+    ServicePeers,
+)
 from plantaingrade.keyspace.assign import split_evenly
 from plantaingrade.peers.directory import Directory
 from plantaingrade.peers.entity import Member
@@ -15,17 +19,17 @@
 )
 
 
-def others(*owners: Member) -> Others:
+def others(*owners: Member) -> ServicePeers:
     directory = Directory()
     for member in (OWN, LEAVING, THIRD):
         directory.add(member)
     key_map = split_evenly([member.name for member in owners])
     registry = SimpleNamespace(key_map=key_map)
-    return Others(OWN, registry, directory, LoadBook())
+    return ServicePeers(OWN, registry, directory, PeerLoads())
 
 
-def tell_leaving(known: Others, now: float) -> None:
-    known.book.note(LEAVING.name, Load(LEAVING_SHARE, 0.1, 3), now)
+def tell_leaving(known: ServicePeers, now: float) -> None:
+    known.loads.record(LEAVING.name, Load(LEAVING_SHARE, 0.1, 3), now)
 
 
 def test_nobody_evens_out_while_a_member_gives_its_keys_away() -> None:
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -194,7 +194,7 @@
     Guard(
         'a full queue refuses at once',
         'plantaingrade/admission/queue.py',
-        'if len(self) >= self.slots * QUEUE_PER_SLOT:',
+        'if len(self) >= self.slots * MAX_QUEUED_PER_SLOT:',
         'if False:',
         'tests/admission',
     ),
@@ -264,7 +264,7 @@
     Guard(
         'brief calls count on the next free slot',
         'plantaingrade/admission/slots.py',
-        'return work_s <= BRIEF_PART * self.estimate.longest_s()',
+        'return work_s <= MAX_BRIEF_FRACTION * self.estimate.longest_s()',
         'return False',
         'tests/admission/test_short_calls.py',
     ),
--- a/tests/peers/test_messages.py
+++ b/tests/peers/test_messages.py
@@ -6,9 +6,9 @@
 
 from msgspec.structs import replace
 
-from plantaingrade.balance.book import LoadBook
 from plantaingrade.balance.entity import Load
-from plantaingrade.balance.others import LEAVING_SHARE
+from plantaingrade.balance.peer_loads import PeerLoads
+from plantaingrade.balance.service_peers import LEAVING_SHARE
 from plantaingrade.datagrams import MAX_DATAGRAM_BYTES
 from plantaingrade.eventlog import EventLog
 from plantaingrade.keyspace.assign import reassign, split_evenly
@@ -51,7 +51,7 @@
         calls,
         clock,
         EventLog('t', clock, os.open(os.devnull, os.O_WRONLY)),
-        LoadBook(),
+        PeerLoads(),
         PeerHooks(
             lambda: ['s'],
             lambda _: None,
@@ -173,7 +173,7 @@
         peers = member_with(KeyMaps(), FakeCalls())
         loads = peers._loads
         now = LoopClock().now()
-        loads.note('s@2', Load(LEAVING_SHARE, 0.01, 4), now)
+        loads.record('s@2', Load(LEAVING_SHARE, 0.01, 4), now)
         peers._on_datagram(Hello(replace(OTHER, boot='b3')))
         assert loads.find('s@2', now) is None
 
--- a/tests/peers/test_rooms.py
+++ b/tests/peers/test_rooms.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from plantaingrade.balance.entity import Room
+from plantaingrade.balance.entity import FreeCapacity
 from plantaingrade.peers.entity import Member, RoomAsked, RoomTold
 from plantaingrade.peers.rooms import (
     ANSWER_LIMIT_S,
@@ -14,7 +14,7 @@
 OWN = Member('s@1', 's', 'a', '10.0.0.1:1', 'b1')
 NEAR = Member('s@2', 's', 'a', '10.0.0.2:1', 'b2')
 FAR = Member('s@3', 's', 'b', '10.0.0.3:1', 'b3')
-OWN_ROOM = Room(0.0, 0.05)
+OWN_ROOM = FreeCapacity(0.0, 0.05)
 WAY_S = 0.002
 
 
@@ -70,7 +70,7 @@
         began = loop.time()
         rooms = await inquiries.async_ask([OWN, NEAR, FAR], '1o', 1)
         # The third takes no work; the own server is asked without a datagram.
-        assert rooms == {'s@1': OWN_ROOM, 's@2': Room(0.03, 0.06)}
+        assert rooms == {'s@1': OWN_ROOM, 's@2': FreeCapacity(0.03, 0.06)}
         assert loop.time() - began < ANSWER_LIMIT_S
         assert endpoint.asked == ['10.0.0.2:1', '10.0.0.3:1']
 
--- a/tests/peers/test_strangers.py
+++ b/tests/peers/test_strangers.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given
 
-from plantaingrade.balance.book import LoadBook
+from plantaingrade.balance.peer_loads import PeerLoads
 from plantaingrade.codec import Codec, MalformedMessageError
 from plantaingrade.eventlog import EventLog
 from plantaingrade.holds.lease import MemberRow, encode_member_row
@@ -112,7 +112,7 @@
         None,
         clock,
         EventLog('t', clock, os.open(os.devnull, os.O_WRONLY)),
-        LoadBook(),
+        PeerLoads(),
         PeerHooks(
             lambda: ['s'],
             lambda _: None,
--- a/tests/requests/test_coordinator.py
+++ b/tests/requests/test_coordinator.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from plantaingrade.admission.repeats import RepeatBudget
-from plantaingrade.balance.entity import Load, Room
+from plantaingrade.admission.service_retries import ServiceRetryBudget
+from plantaingrade.balance.entity import FreeCapacity, Load
 from plantaingrade.config.entity import (
     Limits,
     Route,
@@ -51,7 +51,7 @@
 NO_LOADS: Mapping[str, Load] = MappingProxyType({})
 
 
-async def async_ask_nobody(*_) -> dict[str, Room]:
+async def async_ask_nobody(*_) -> dict[str, FreeCapacity]:
     """Return no answer of any member."""
     return {}
 
@@ -143,7 +143,7 @@
             ),
             paths,
             paths,
-            RepeatBudget(0.2, 50, 10),
+            ServiceRetryBudget(0.2, 50, 10),
             clock,
             EventLog('t', clock, os.open(os.devnull, os.O_WRONLY)),
             lambda *_: None,
--- a/tests/requests/test_placing.py
+++ b/tests/requests/test_placing.py
@@ -5,7 +5,7 @@
 
 from pytest import approx
 
-from plantaingrade.balance.entity import Load, Room
+from plantaingrade.balance.entity import FreeCapacity, Load
 from plantaingrade.peers.entity import Member
 from plantaingrade.requests.entity import (
     Answer,
@@ -172,31 +172,31 @@
 
 def test_the_server_that_ends_first_is_chosen_not_the_one_that_begins() -> None:
     """A free server at half the speed was preferred to one free in a moment."""
-    rooms = {'slow': Room(0.0, 0.2), 'fast': Room(0.03, 0.08)}
+    rooms = {'slow': FreeCapacity(0.0, 0.2), 'fast': FreeCapacity(0.03, 0.08)}
     assert soonest(rooms) == 'fast'
 
 
 def test_a_server_that_fails_fast_does_not_draw_all_requests() -> None:
     """It has the most room of all, as it runs nothing for long."""
     rooms = {
-        'failing': Room(0.0, 0.01, failures=0.5),
-        'sound': Room(0.1, 0.1, failures=0.02),
+        'failing': FreeCapacity(0.0, 0.01, failures=0.5),
+        'sound': FreeCapacity(0.1, 0.1, failures=0.02),
     }
     assert soonest(rooms) == 'sound'
 
 
 def test_what_all_servers_fail_alike_rules_none_out() -> None:
     rooms = {
-        'one': Room(0.0, 0.1, failures=0.5),
-        'other': Room(0.2, 0.1, failures=0.45),
+        'one': FreeCapacity(0.0, 0.1, failures=0.5),
+        'other': FreeCapacity(0.2, 0.1, failures=0.45),
     }
     assert soonest(rooms) == 'one'
     assert soonest({}) is None
 
 
 def test_a_request_leaves_its_zone_only_to_end_clearly_sooner() -> None:
-    near = Room(0.1, 0.1)
+    near = FreeCapacity(0.1, 0.1)
     assert is_near_enough(near, due_in_s=0.25)
     assert not is_near_enough(near, due_in_s=0.15)
-    assert is_worth_crossing(near, Room(0.0, 0.1))
-    assert not is_worth_crossing(near, Room(0.08, 0.1))
+    assert is_worth_crossing(near, FreeCapacity(0.0, 0.1))
+    assert not is_worth_crossing(near, FreeCapacity(0.08, 0.1))
--- a/tests/sidecar/test_evacuation.py
+++ b/tests/sidecar/test_evacuation.py
@@ -117,13 +117,13 @@
     async def story(rig: Rig) -> None:
         place = rig.places[-1]
         cold = place.process._gate.queue.cold
-        cold.limit_to(ColdLimit(1.0, 0.0))
+        cold.apply_limit(ColdLimit(1.0, 0.0))
         rig.store.rows.put('op', ROW, b'{}')
         path = place.process._server_path
         await rig.async_until(lambda: path.is_evacuated)
         place.server.cold.turn(60.0)
         rig.store.rows.delete('op', ROW)
         await rig.async_until(lambda: not path.is_evacuated)
-        assert cold.is_bound(rig.clock.now())
+        assert cold.is_limited(rig.clock.now())
 
     play(100, story)
--- a/tests/sidecar/test_reused_address.py
+++ b/tests/sidecar/test_reused_address.py
@@ -7,8 +7,8 @@
 from plantaingrade.admission.estimate import WorkEstimate
 from plantaingrade.admission.slots import SlotQueue
 from plantaingrade.backends.life import BackendLife
-from plantaingrade.balance.book import LoadBook
 from plantaingrade.balance.coordinator import BalanceCoordinator
+from plantaingrade.balance.peer_loads import PeerLoads
 from plantaingrade.clock import BootClock
 from plantaingrade.eventlog import EventLog
 from plantaingrade.http.messages import Request
@@ -76,7 +76,7 @@
         SimpleNamespace(),
         clock,
         EventLog('t', clock, os.open(os.devnull, os.O_WRONLY)),
-        LoadBook(),
+        PeerLoads(),
         PeerHooks(list, tokens.append, lambda _: None, lambda *_: None),
     )
     control = Control(
