--- a/plantaingrade/admission/__init__.py
+++ b/plantaingrade/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Limits on the work of one backend server."""
+"""Admission control, rate limits and retry budgets."""
--- a/plantaingrade/admission/budget.py
+++ b/plantaingrade/admission/budget.py
@@ -1,4 +1,4 @@
-"""Budget of retries."""
+"""Retry budget."""
 
 from plantaingrade.admission.const import (
     RETRY_TOKENS_MAX,
@@ -7,9 +7,10 @@
 
 
 class RetryBudget:
-    """Allow one retry for every ten requests, in the long run.
+    """Limit retries to one for every ten requests in the long run.
 
-    Repeats would double an overload, so only first tries earn tokens.
+    Unlimited retries would double an overload, so only first attempts add
+    tokens.
     """
 
     __slots__ = ('_tokens',)
@@ -19,12 +20,12 @@
         self._tokens = RETRY_TOKENS_MAX
 
     def on_request(self) -> None:
-        """Earn a part of a retry."""
+        """Add a fraction of a token for a first attempt."""
         earned = self._tokens + RETRY_TOKENS_PER_REQUEST
         self._tokens = min(RETRY_TOKENS_MAX, earned)
 
     def try_spend(self) -> bool:
-        """Spend one retry if there is one."""
+        """Spend a token if one is available."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
--- a/plantaingrade/admission/const.py
+++ b/plantaingrade/admission/const.py
@@ -1,4 +1,4 @@
-"""Constants of admission."""
+"""Constants for admission control."""
 
 CLASS_AVAILABILITY = 'availability'
 CLASS_DEFAULT = 'default'
--- a/plantaingrade/admission/estimate.py
+++ b/plantaingrade/admission/estimate.py
@@ -1,66 +1,68 @@
-"""Estimate how long work takes at a server, by class, from what it took."""
+"""Estimates of work durations and slot usage from observed requests."""
 
 import math
 
-# Weight of a new reading. A server's speed may change at once, by several
-# times, and some 20 readings a second come in on a busy one: a half-life of 7
-# readings follows within a second.
+# Weight of a new sample. The speed of a server may change suddenly by a factor
+# of several, and a busy server yields about 20 samples per second: with a
+# half-life of 7 samples the estimate follows within a second.
 SMOOTHING = 0.1
-# Assumed before the first reading.
-FIRST_GUESS_S = 0.05
+# Duration assumed before the first sample, in seconds.
+DEFAULT_WORK_S = 0.05
 
 
 class WorkEstimate:
-    """Smoothed duration of each class of work, in seconds."""
+    """Exponentially smoothed duration of each class of work, in seconds."""
 
     __slots__ = ('_mean_s', '_mean_s_by_kind')
 
     def __init__(self) -> None:
-        """Know no durations."""
+        """Create an estimate without samples."""
         self._mean_s_by_kind: dict[str, float] = {}
         self._mean_s: float | None = None
 
-    def observe(self, kind: str, took_s: float) -> None:
-        """Take the duration of one piece of work."""
-        known = self._mean_s_by_kind.get(kind, took_s)
-        self._mean_s_by_kind[kind] = known + SMOOTHING * (took_s - known)
-        mean = took_s if self._mean_s is None else self._mean_s
-        self._mean_s = mean + SMOOTHING * (took_s - mean)
+    def observe(self, kind: str, duration_s: float) -> None:
+        """Add the duration of one piece of work."""
+        known = self._mean_s_by_kind.get(kind, duration_s)
+        self._mean_s_by_kind[kind] = known + SMOOTHING * (duration_s - known)
+        mean = duration_s if self._mean_s is None else self._mean_s
+        self._mean_s = mean + SMOOTHING * (duration_s - mean)
 
     def expected_s(self, kind: str) -> float:
-        """Return how long a piece of work of a class will probably take."""
+        """Return the expected duration of a class of work."""
         return self._mean_s_by_kind.get(kind, self.mean_s())
 
     def longest_s(self) -> float:
-        """Return how long a piece of the longest kind of work takes."""
+        """Return the expected duration of the longest class of work."""
         return max(self._mean_s_by_kind.values(), default=0.0)
 
     def mean_s(self) -> float:
-        """Return how long a piece of any work takes on average."""
-        return FIRST_GUESS_S if self._mean_s is None else self._mean_s
+        """Return the mean duration over all classes of work."""
+        return DEFAULT_WORK_S if self._mean_s is None else self._mean_s
 
 
-# The share of slots that work takes is followed with this time constant, in
-# seconds: slower than a request, faster than a burst.
-RATE_TIME_S = 0.5
+# Time constant of the average of busy slots, in seconds: longer than a request,
+# shorter than a burst.
+RATE_TIME_CONSTANT_S = 0.5
 
 
 class WorkRate:
-    """Work started in a second, as slots that are kept busy."""
+    """Decaying average of started work, as a number of busy slots."""
 
-    __slots__ = ('_rate', '_seen_at')
+    __slots__ = ('_rate', '_decayed_at')
 
     def __init__(self) -> None:
-        """Start with no work."""
+        """Create a rate without work."""
         self._rate = 0.0
-        self._seen_at = 0.0
+        self._decayed_at = 0.0
 
     def observe(self, work_s: float, now: float) -> None:
-        """Count work that has been started."""
-        self._rate = self.total(now) + work_s / RATE_TIME_S
-
-    def total(self, now: float) -> float:
-        """Return the slots kept busy."""
-        self._rate *= math.exp(-max(0.0, now - self._seen_at) / RATE_TIME_S)
-        self._seen_at = now
+        """Add the expected duration of work that has been started."""
+        self._rate = self.busy_slots(now) + work_s / RATE_TIME_CONSTANT_S
+
+    def busy_slots(self, now: float) -> float:
+        """Return the average number of busy slots."""
+        self._rate *= math.exp(
+            -max(0.0, now - self._decayed_at) / RATE_TIME_CONSTANT_S
+        )
+        self._decayed_at = now
         return self._rate
--- a/plantaingrade/admission/gate.py
+++ b/plantaingrade/admission/gate.py
@@ -1,4 +1,4 @@
-"""Let requests wait for the slots of the server beside this process."""
+"""Asynchronous access to the slots of the local backend server."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -6,11 +6,11 @@
 
 from plantaingrade.admission.estimate import WorkEstimate
 from plantaingrade.admission.slots import (
+    Decision,
     Refuse,
     SlotQueue,
     Start,
     Ticket,
-    Verdict,
     Wait,
 )
 from plantaingrade.clock import Clock
@@ -19,31 +19,31 @@
 
 
 class RefusedError(PlantaingradeError):
-    """Report a request that was refused before it was sent to the server."""
+    """Raised for a request refused before it was sent to the server."""
 
-    advice = 'Come back after the time given.'
+    advice = 'Retry after the given delay.'
 
     def __init__(self, outcome: NotRun) -> None:
-        """Keep the typed outcome."""
+        """Store the outcome returned to the caller."""
         super().__init__(outcome.reason)
         self.outcome = outcome
 
 
 class Gate:
-    """Act on the decisions of a slot queue."""
+    """Make requests wait according to the decisions of a slot queue."""
 
-    __slots__ = ('_clock', '_refill', '_turn_by_ticket', 'queue')
+    __slots__ = ('_clock', '_fill_timer', '_waiter_by_ticket', 'queue')
 
     def __init__(self, queue: SlotQueue, clock: Clock) -> None:
-        """Use a queue."""
+        """Create a gate in front of a slot queue."""
         self.queue = queue
         self._clock = clock
-        self._turn_by_ticket: dict[Ticket, asyncio.Future[Verdict]] = {}
-        self._refill: asyncio.TimerHandle | None = None
+        self._waiter_by_ticket: dict[Ticket, asyncio.Future[Decision]] = {}
+        self._fill_timer: asyncio.TimerHandle | None = None
 
     @classmethod
     def from_slots(cls, slots: int, clock: Clock) -> 'Gate':
-        """Return a gate to an idle server of which nothing else is known."""
+        """Return a gate for an idle server without known durations."""
         return cls(SlotQueue(slots, WorkEstimate()), clock)
 
     @asynccontextmanager
@@ -51,75 +51,76 @@
         """Hold a slot while the body of the ``async with`` runs.
 
         Raises:
-            RefusedError: the request would not end in time.
+            RefusedError: the request is not expected to complete in time.
         """
-        verdict = self.queue.offer(ticket, self._clock.now())
-        while isinstance(verdict, Wait):
-            verdict = await self._wait(verdict)
-        if isinstance(verdict, Refuse):
-            raise RefusedError(verdict.outcome)
+        decision = self.queue.offer(ticket, self._clock.now())
+        while isinstance(decision, Wait):
+            decision = await self._wait(decision)
+        if isinstance(decision, Refuse):
+            raise RefusedError(decision.outcome)
         try:
             yield
         finally:
             self._release(ticket)
 
     def resize(self, slots: int) -> None:
-        """Follow the server's number of slots."""
+        """Apply a new number of slots and start waiting requests."""
         self.queue.slots = slots
         self._fill()
 
-    async def _wait(self, wait: Wait) -> Verdict:
-        turn = asyncio.get_running_loop().create_future()
-        self._turn_by_ticket[wait.ticket] = turn
-        self._plan_refill()
+    async def _wait(self, wait: Wait) -> Decision:
+        waiter = asyncio.get_running_loop().create_future()
+        self._waiter_by_ticket[wait.ticket] = waiter
+        self._schedule_fill()
         try:
-            async with asyncio.timeout(wait.give_up_at - self._clock.now()):
-                return await turn
+            async with asyncio.timeout(wait.timeout_at - self._clock.now()):
+                return await waiter
         except TimeoutError:
             if self._has_slot(wait.ticket):
                 return Start(wait.ticket)
-            return self.queue.give_up(wait.ticket, self._clock.now())
+            return self.queue.on_timeout(wait.ticket, self._clock.now())
         except asyncio.CancelledError:
-            self._leave(wait.ticket)
+            self._abandon(wait.ticket)
             raise
         finally:
-            self._turn_by_ticket.pop(wait.ticket, None)
+            self._waiter_by_ticket.pop(wait.ticket, None)
 
     def _fill(self) -> None:
-        if self._refill is not None:
-            self._refill.cancel()
-        self._refill = None
-        self._act(self.queue.fill(self._clock.now()))
-        self._plan_refill()
+        if self._fill_timer is not None:
+            self._fill_timer.cancel()
+        self._fill_timer = None
+        self._wake_waiters(self.queue.fill(self._clock.now()))
+        self._schedule_fill()
 
-    def _plan_refill(self) -> None:
-        """Look again when a cold server may get one more request.
+    def _schedule_fill(self) -> None:
+        """Schedule a check for the time a cold server may get more requests.
 
-        Else slots stay empty until another request ends, which may be never.
+        Without it free slots would stay unused until another request ends,
+        which may never happen.
         """
-        if self._refill is not None:
+        if self._fill_timer is not None:
             return
-        pause_s = self.queue.refill_s(self._clock.now())
-        if pause_s is not None:
+        delay_s = self.queue.next_fill_s(self._clock.now())
+        if delay_s is not None:
             loop = asyncio.get_running_loop()
-            self._refill = loop.call_later(pause_s, self._fill)
+            self._fill_timer = loop.call_later(delay_s, self._fill)
 
-    def _leave(self, ticket: Ticket) -> None:
-        """Give up a place, or the slot that came at the same moment."""
+    def _abandon(self, ticket: Ticket) -> None:
+        """Leave the queue, or release a slot assigned at the same moment."""
         if self._has_slot(ticket):
             self._release(ticket)
         else:
-            self.queue.withdraw(ticket)
+            self.queue.remove(ticket)
 
     def _has_slot(self, ticket: Ticket) -> bool:
         return not ticket.is_waiting
 
     def _release(self, ticket: Ticket) -> None:
-        self._act(self.queue.release(ticket, self._clock.now()))
-        self._plan_refill()
-
-    def _act(self, verdicts: list[Verdict]) -> None:
-        for verdict in verdicts:
-            turn = self._turn_by_ticket.get(verdict.ticket)
-            if turn is not None and not turn.done():
-                turn.set_result(verdict)
+        self._wake_waiters(self.queue.release(ticket, self._clock.now()))
+        self._schedule_fill()
+
+    def _wake_waiters(self, decisions: list[Decision]) -> None:
+        for decision in decisions:
+            waiter = self._waiter_by_ticket.get(decision.ticket)
+            if waiter is not None and not waiter.done():
+                waiter.set_result(decision)
--- a/plantaingrade/admission/queue.py
+++ b/plantaingrade/admission/queue.py
@@ -1,4 +1,4 @@
-"""Admit requests to the slots of one backend server."""
+"""Queue requests for the slots of one backend server by class."""
 
 import asyncio
 import heapq
@@ -15,35 +15,35 @@
 from plantaingrade.errors import PlantaingradeError
 from plantaingrade.outcome import NotRun, NotRunReason
 
-Turn = asyncio.Future[None]
-Place = tuple[int, int, Turn]
+Waiter = asyncio.Future[None]
+QueueEntry = tuple[int, int, Waiter]
 
 
 class NotAdmittedError(PlantaingradeError):
-    """Report that a request was refused before it was run."""
+    """Raised for a request refused before it was run."""
 
-    advice = 'Come back after the time given.'
+    advice = 'Retry after the given delay.'
 
     def __init__(self, outcome: NotRun) -> None:
-        """Keep the typed outcome."""
+        """Store the outcome returned to the caller."""
         super().__init__(outcome.reason)
         self.outcome = outcome
 
 
 class AdmissionQueue:
-    """Bound concurrency by slots and let waiting requests in by class."""
+    """Limit concurrency to the slots and admit by class priority."""
 
-    __slots__ = ('_order', '_queue', 'in_flight', 'slots')
+    __slots__ = ('_sequence', '_queue', 'in_flight', 'slots')
 
     def __init__(self, slots: int) -> None:
-        """Start empty."""
+        """Create an empty queue with all slots free."""
         self.slots = slots
         self.in_flight = 0
-        self._order = count()
-        self._queue: list[Place] = []
+        self._sequence = count()
+        self._queue: list[QueueEntry] = []
 
     def __len__(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         return sum(not entry[-1].done() for entry in self._queue)
 
     @asynccontextmanager
@@ -60,27 +60,27 @@
         try:
             yield
         finally:
-            self._leave()
+            self._release()
 
     async def _wait(self, request_class: str) -> None:
         if len(self) >= self.slots * MAX_QUEUED_PER_SLOT:
             refusal = NotRun(NotRunReason.QUEUE_FULL, RETRY_AFTER_S)
             raise NotAdmittedError(refusal)
-        turn = asyncio.get_running_loop().create_future()
+        waiter = asyncio.get_running_loop().create_future()
         priority = PRIORITY_BY_CLASS.get(request_class, LOWEST_PRIORITY)
-        heapq.heappush(self._queue, (priority, next(self._order), turn))
+        heapq.heappush(self._queue, (priority, next(self._sequence), waiter))
         try:
-            await turn
+            await waiter
         except asyncio.CancelledError:
-            if turn.done() and not turn.cancelled():
-                self._leave()
+            if waiter.done() and not waiter.cancelled():
+                self._release()
             raise
 
-    def _leave(self) -> None:
-        """Hand the slot to the first that still waits."""
+    def _release(self) -> None:
+        """Pass the slot to the first request that still waits."""
         while self._queue:
-            turn = heapq.heappop(self._queue)[-1]
-            if not turn.done():
-                turn.set_result(None)
+            waiter = heapq.heappop(self._queue)[-1]
+            if not waiter.done():
+                waiter.set_result(None)
                 return
         self.in_flight -= 1
--- a/tests/admission/__init__.py
+++ b/tests/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of admission."""
+"""Tests for admission control."""
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -1,4 +1,4 @@
-"""Slots, queues and the budget of retries."""
+"""Tests for the admission queue and the retry budget."""
 
 import asyncio
 
@@ -14,10 +14,10 @@
 from tests.routing.test_outcomes import run
 
 
-def test_availability_check_passes_a_burst_of_bookings() -> None:
-    """A burst of bookings waits; an availability check goes before it."""
+def test_availability_check_precedes_a_burst_of_bookings() -> None:
+    """An availability check waits behind a burst of bookings."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         queue = AdmissionQueue(1)
         order: list[str] = []
 
@@ -32,34 +32,34 @@
             group.create_task(work('check', CLASS_AVAILABILITY))
         assert order == ['running', 'check', 'booking']
 
-    run(story)
+    run(scenario)
 
 
 def test_full_queue_refuses_without_waiting() -> None:
-    """The one who would wait too long is told at once."""
+    """Requests wait although the queue is full."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         queue = AdmissionQueue(1)
         async with asyncio.TaskGroup() as group, queue.slot(CLASS_DEFAULT):
             for _ in range(MAX_QUEUED_PER_SLOT):
                 group.create_task(_pass(queue))
             await asyncio.sleep(0)
-            late = asyncio.ensure_future(_pass(queue))
+            excess = asyncio.ensure_future(_pass(queue))
             await asyncio.sleep(0)
-            refused = late.done() and late.exception()
-            late.cancel()
+            refused = excess.done() and excess.exception()
+            excess.cancel()
             assert isinstance(refused, NotAdmittedError)
             assert refused.outcome.reason is NotRunReason.QUEUE_FULL
             assert refused.outcome.retry_after_s >= 1
         assert queue.in_flight == 0
 
-    run(story)
+    run(scenario)
 
 
-def test_slot_of_one_who_gave_up_waiting_is_not_lost() -> None:
-    """A caller hangs up in the very moment its turn comes."""
+def test_slot_of_a_cancelled_request_is_not_lost() -> None:
+    """A request is cancelled at the moment it gets a slot."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         queue = AdmissionQueue(1)
         async with queue.slot(CLASS_DEFAULT):
             waiting = asyncio.ensure_future(_pass(queue))
@@ -68,11 +68,11 @@
         await asyncio.gather(waiting, return_exceptions=True)
         assert queue.in_flight == 0
 
-    run(story)
+    run(scenario)
 
 
-def test_retries_are_bounded_by_first_tries() -> None:
-    """Everything fails: retries must not double the overload."""
+def test_retries_are_limited_by_first_attempts() -> None:
+    """All requests fail, and their retries double the overload."""
     budget = RetryBudget()
     many = int(RETRY_TOKENS_MAX) * 2
     assert sum(budget.try_spend() for _ in range(many)) == RETRY_TOKENS_MAX
--- a/tests/admission/test_gate.py
+++ b/tests/admission/test_gate.py
@@ -1,4 +1,4 @@
-"""Waiting for slots, with callers that leave at every moment."""
+"""Tests for waiting for slots, with requests cancelled at any time."""
 
 import asyncio
 from itertools import repeat
@@ -19,9 +19,9 @@
     return Gate(SlotQueue(slots, estimate), LoopClock())
 
 
-def ticket(due_s: float, until_s: float, priority: int = 1) -> Ticket:
+def ticket(due_s: float, deadline_s: float, priority: int = 1) -> Ticket:
     now = asyncio.get_running_loop().time()
-    return Ticket('k', priority, now + until_s, now + due_s)
+    return Ticket('k', priority, now + deadline_s, now + due_s)
 
 
 async def work(gate: Gate, wanted: Ticket, seconds: float = WORK_S) -> str:
@@ -33,8 +33,8 @@
         return error.outcome.reason.value
 
 
-def test_slots_bound_what_runs_at_once() -> None:
-    async def story() -> None:
+def test_slots_limit_concurrency() -> None:
+    async def scenario() -> None:
         gate = make_gate(2)
         tasks = [
             asyncio.create_task(work(gate, ticket(5, 9))) for _ in range(6)
@@ -45,17 +45,18 @@
         assert await asyncio.gather(*tasks) == list(repeat('served', 6))
         assert gate.queue.running == 0
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize('after_s', [0.01, 0.1, 0.15, 0.2, 0.25, 0.3])
-def test_a_caller_that_leaves_gives_its_place_or_slot_back(after_s) -> None:
-    """Callers leave while they wait, while they are served, and at the very
-    moment at which they get a slot. A slot that stayed taken would be lost
-    for good.
+def test_cancelled_requests_free_their_slot_or_queue_entry(after_s) -> None:
+    """A slot stays occupied forever after its request was cancelled.
+
+    Requests are cancelled while they wait, while they run, and at the moment
+    they get a slot.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         gate = make_gate(1)
         tasks = [
             asyncio.create_task(work(gate, ticket(5, 9))) for _ in range(4)
@@ -68,11 +69,11 @@
         assert gate.queue.waiting == 0
         assert await work(gate, ticket(5, 9)) == 'served'
 
-    run(story())
+    run(scenario())
 
 
-def test_what_cannot_be_in_time_is_refused_at_once() -> None:
-    async def story() -> None:
+def test_request_that_cannot_be_in_time_is_refused_at_once() -> None:
+    async def scenario() -> None:
         gate = make_gate(1)
         tasks = [
             asyncio.create_task(work(gate, ticket(5, 9))) for _ in range(3)
@@ -83,30 +84,32 @@
         assert asyncio.get_running_loop().time() == before
         await asyncio.gather(*tasks)
 
-    run(story())
+    run(scenario())
 
 
-def test_a_wrong_prediction_ends_in_time_all_the_same() -> None:
-    """Work takes ten times as long as it used to.
+def test_wrong_prediction_is_refused_before_the_deadline() -> None:
+    """Work takes ten times as long as before.
 
-    Who waits behind it is told as soon as the deadline cannot be met any
-    more, not at the deadline.
+    A request behind it must be refused as soon as its deadline cannot be met,
+    not at the deadline.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         gate = make_gate(1)
         slow = asyncio.create_task(work(gate, ticket(5, 9), WORK_S * 10))
         await asyncio.sleep(0)
-        waited = ticket(0.3, 0.6)
-        assert await work(gate, waited) == 'cannot-finish-in-time'
-        assert waited.until - asyncio.get_running_loop().time() >= WORK_S / 2
+        waiting = ticket(0.3, 0.6)
+        assert await work(gate, waiting) == 'cannot-finish-in-time'
+        assert (
+            waiting.deadline - asyncio.get_running_loop().time() >= WORK_S / 2
+        )
         await slow
 
-    run(story())
+    run(scenario())
 
 
-def test_more_slots_are_used_as_soon_as_they_are_known() -> None:
-    async def story() -> None:
+def test_additional_slots_are_used_immediately() -> None:
+    async def scenario() -> None:
         gate = make_gate(1)
         tasks = [
             asyncio.create_task(work(gate, ticket(5, 9))) for _ in range(3)
@@ -117,4 +120,4 @@
         assert gate.queue.running == 3
         await asyncio.gather(*tasks)
 
-    run(story())
+    run(scenario())
--- a/tests/admission/test_repeats.py
+++ b/tests/admission/test_service_retries.py
@@ -1,4 +1,4 @@
-"""The budget of repeats."""
+"""Tests for the retry budgets of services."""
 
 from plantaingrade.admission.service_retries import ServiceRetryBudget
 
@@ -7,24 +7,24 @@
 WINDOW_S = 10.0
 
 
-def test_all_processes_together_keep_to_the_bound() -> None:
-    """Every request fails and would be sent again, everywhere, for 10 s.
+def test_retries_of_all_processes_keep_to_the_limit() -> None:
+    """All requests in all processes fail and are retried for 10 s.
 
-    Three of four requests are calls of servers, which earn nothing by the
-    platform's count.
+    Three of four requests are calls from servers, which the platform does not
+    count as requests.
     """
     processes, per_s = 10, 65
-    repeats = 0
+    retries = 0
     for _ in range(processes):
         budget = ServiceRetryBudget(RATIO, SLACK, WINDOW_S)
         for number in range(int(per_s * WINDOW_S)):
             budget.on_request('s', processes, number / per_s)
-            repeats += budget.try_spend('s', 0)
+            retries += budget.try_spend('s', 0)
     counted = processes * per_s * WINDOW_S / 4
-    assert 0 < repeats <= RATIO * counted + SLACK
+    assert 0 < retries <= RATIO * counted + SLACK
 
 
-def test_the_most_urgent_class_spends_last_of_all() -> None:
+def test_last_token_is_reserved_for_the_most_urgent_class() -> None:
     budget = ServiceRetryBudget(RATIO, SLACK, WINDOW_S)
     assert budget.try_spend('s', 2)
     assert not budget.try_spend('s', 2)
@@ -32,7 +32,7 @@
     assert not budget.try_spend('s', 0)
 
 
-def test_services_have_budgets_of_their_own() -> None:
+def test_services_have_separate_budgets() -> None:
     budget = ServiceRetryBudget(RATIO, SLACK, WINDOW_S)
     while budget.try_spend('s', 0):
         continue
--- a/tests/admission/test_short_calls.py
+++ b/tests/admission/test_short_calls.py
@@ -1,59 +1,62 @@
-"""Short urgent calls beside long reads at one server, played."""
+"""Simulations of short calls and long reads at the same server."""
 
-from tests.admission.replay import Class, Play, make_queue
+from tests.admission.simulation import RequestClass, Simulation, make_queue
 
 SLOTS = 9
 SECONDS = 60.0
 SEEDS = range(4)
-# Parts of what comes.
-HARDLY_ANY = 0.02
-NEARLY_ALL = 0.93
-READ = Class('read', 2, 30.0, 0.36, 0.8, 1.0, 2.0, 1, 0.3)
-CALL = Class('call', 1, 60.0, 0.022, 0.5, 0.1, 0.25, 3, 0.9)
+# Shares of the requests sent.
+MAX_UNSERVED_SHARE = 0.02
+MIN_SERVED_SHARE = 0.93
+READ = RequestClass('read', 2, 30.0, 0.36, 0.8, 1.0, 2.0, 1, 0.3)
+CALL = RequestClass('call', 1, 60.0, 0.022, 0.5, 0.1, 0.25, 3, 0.9)
 
 
-def lost_share(seed: int) -> tuple[float, float]:
-    """Return the parts of calls and of reads that were not served."""
-    game = Play((READ, CALL), make_queue(SLOTS), SECONDS, seed=seed)
-    told = game.run()
+def unserved_shares(seed: int) -> tuple[float, float]:
+    """Return the unserved shares of calls and of reads."""
+    simulation = Simulation((READ, CALL), make_queue(SLOTS), SECONDS, seed=seed)
+    counts = simulation.run()
     return (
-        told['call'].lost / told['call'].asked,
-        told['read'].lost / told['read'].asked,
+        counts['call'].unserved / counts['call'].requests,
+        counts['read'].unserved / counts['read'].requests,
     )
 
 
-def test_short_calls_are_not_turned_away_behind_long_reads() -> None:
-    """Callers are told 500 though the servers between have room in time.
+def test_short_calls_are_not_refused_behind_long_reads() -> None:
+    """Calls are refused although a slot becomes free every 40 ms.
 
-    Servers of another service call this one for each request that they run.
-    Long reads of a less urgent class keep all slots busy; a slot becomes free
-    each 40 ms. The calls are refused as if all work that runs had to end
-    before one could begin, and each takes the request that it serves with it.
+    Long reads of a less urgent class occupy all slots. If the wait is predicted
+    as if all running work had to end first, the calls are refused, and so fails
+    each request of another service that depends on them.
     """
-    lost = [lost_share(seed)[0] for seed in SEEDS]
-    assert max(lost) < HARDLY_ANY
+    unserved = [unserved_shares(seed)[0] for seed in SEEDS]
+    assert max(unserved) < MAX_UNSERVED_SHARE
 
 
-def test_long_reads_get_what_short_calls_leave() -> None:
-    """No slot is kept idle for calls that may come.
+def test_long_reads_use_slots_left_by_short_calls() -> None:
+    """Slots stay idle for calls that may arrive.
 
-    The calls need 1.3 of nine slots; the rest is room for 21 reads a second,
-    of 30 that come.
+    The calls need 1.3 of nine slots. The rest can serve 21 of the 30 reads that
+    arrive per second.
     """
-    room = (SLOTS - CALL.per_s * CALL.work_s) / (READ.per_s * READ.work_s)
-    served = [1 - lost_share(seed)[1] for seed in SEEDS]
-    assert min(served) > NEARLY_ALL * room
+    servable_share = (SLOTS - CALL.per_s * CALL.work_s) / (
+        READ.per_s * READ.work_s
+    )
+    served = [1 - unserved_shares(seed)[1] for seed in SEEDS]
+    assert min(served) > MIN_SERVED_SHARE * servable_share
 
 
-SIGN = Class('sign', 0, 53.0, 0.15, 0.3, 0.35, 1.0, 3, 0.9)
-CHECK = Class('check', 1, 30.0, 0.022, 0.5, 0.1, 0.25, 0, 0)
+SIGN = RequestClass('sign', 0, 53.0, 0.15, 0.3, 0.35, 1.0, 3, 0.9)
+CHECK = RequestClass('check', 1, 30.0, 0.022, 0.5, 0.1, 0.25, 0, 0)
 
 
 def test_short_calls_of_a_lower_class_are_not_starved() -> None:
-    """Each call that is turned away loses the request that waits for it."""
-    lost = []
+    """Refused calls fail the requests that wait for them."""
+    unserved = []
     for seed in SEEDS:
-        game = Play((SIGN, CHECK), make_queue(SLOTS), SECONDS, seed=seed)
-        told = game.run()['check']
-        lost.append(told.lost / told.asked)
-    assert max(lost) < HARDLY_ANY
+        simulation = Simulation(
+            (SIGN, CHECK), make_queue(SLOTS), SECONDS, seed=seed
+        )
+        counts = simulation.run()['check']
+        unserved.append(counts.unserved / counts.requests)
+    assert max(unserved) < MAX_UNSERVED_SHARE
