--- a/plantaingrade/balance/__init__.py
+++ b/plantaingrade/balance/__init__.py
@@ -1,1 +1,1 @@
-"""Spread keys over servers by the load they bring."""
+"""Load balancing: distributes key ranges over servers by load."""
--- a/plantaingrade/balance/backoff.py
+++ b/plantaingrade/balance/backoff.py
@@ -1,33 +1,33 @@
-"""When a member that could not move keys tries again. Pure.
+"""Backoff after failed key moves; performs no I/O.
 
-Load that answers: the map of a service changes so often, or the store is so far
-away, that the changes of one member are always made from a map that is past.
-Each such move stops the service of its keys for nothing.
+Handles a key map that changes so often, or a store that is so slow, that all
+changes of a member are based on an outdated map. Each such move interrupts the
+service of its keys in vain.
 """
 
 import random
 
-# First pause after a move that was not done, in seconds: the length of two.
-FIRST_PAUSE_S = 1.0
-# Longest pause: an outage of the store that has ended is used this much later.
+# Pause after a first failed move, in seconds: the duration of two moves.
+INITIAL_PAUSE_S = 1.0
+# Maximum pause in seconds; it delays moves after the end of a store outage.
 MAX_PAUSE_S = 4.0
 
 
 class MoveBackoff:
-    """Pauses that double with each move that is not done."""
+    """Exponential backoff with jitter after failed moves."""
 
-    __slots__ = ('_chance', '_pause_s')
+    __slots__ = ('_rng', '_pause_s')
 
-    def __init__(self, chance: random.Random) -> None:
-        """Begin without a pause."""
-        self._chance = chance
+    def __init__(self, rng: random.Random) -> None:
+        """Create a backoff without a pause."""
+        self._rng = rng
         self._pause_s = 0.0
 
     def on_moves(self, done: int, failed: int) -> float:
-        """Note what came of moves; return the pause before the next ones."""
+        """Record the results of moves; return the pause before the next."""
         if done or not failed:
             self._pause_s = 0.0
             return 0.0
-        doubled_s = max(FIRST_PAUSE_S, 2 * self._pause_s)
+        doubled_s = max(INITIAL_PAUSE_S, 2 * self._pause_s)
         self._pause_s = min(MAX_PAUSE_S, doubled_s)
-        return self._chance.uniform(self._pause_s / 2, self._pause_s)
+        return self._rng.uniform(self._pause_s / 2, self._pause_s)
--- a/plantaingrade/balance/coordinator.py
+++ b/plantaingrade/balance/coordinator.py
@@ -1,4 +1,4 @@
-"""Keep this server's load in step with the others', by moving keys."""
+"""Balance load between the servers of a service by moving keys."""
 
 import asyncio
 import random
@@ -9,17 +9,17 @@
 from plantaingrade.balance.backoff import MoveBackoff
 from plantaingrade.balance.const import (
     IDLE_LOAD,
-    IDLE_TELL_S,
-    LOOK_S,
-    RESERVED_S,
-    SETTLE_S,
+    IDLE_PUBLISH_INTERVAL_S,
+    MIN_OWNED_S,
+    POLL_INTERVAL_S,
+    RESERVATION_S,
 )
 from plantaingrade.balance.entity import Load, Move
 from plantaingrade.balance.meter import LoadMeter
-from plantaingrade.balance.policy import choose_moves, share_out
+from plantaingrade.balance.policy import assign_ranges, choose_moves
 from plantaingrade.balance.service_peers import (
+    ASSUMED_LOAD,
     LEAVING_SHARE,
-    NO_LOAD,
     ServicePeers,
 )
 from plantaingrade.clock import Clock
@@ -29,22 +29,22 @@
 from plantaingrade.peers.entity import Member, Offer, OfferReply
 
 
-class Offers(Protocol):
-    """Questions to other members."""
+class OfferClient(Protocol):
+    """Sends offers of keys to other members."""
 
     async def async_offer(self, target: str, offer: Offer) -> OfferReply | None:
-        """Ask a member to take over work."""
+        """Offer work to a member; return None if there is no reply."""
 
 
-class Teller(Protocol):
-    """Words to other members."""
+class LoadPublisher(Protocol):
+    """Publishes the load of this member."""
 
     def tell_load(self, load: Load, names: list[str]) -> None:
-        """Tell some members of this member's load."""
+        """Send the load of this member to the named members."""
 
 
 class BalanceCoordinator:
-    """Measure, offer, move; and give everything away when leaving."""
+    """Moves keys to less loaded members, and all keys when leaving."""
 
     def __init__(
         self,
@@ -52,55 +52,59 @@
         holds: HoldCoordinator,
         life: BackendLife,
         queue: SlotQueue,
-        others: ServicePeers,
-        offers: Offers,
-        teller: Teller,
+        peers: ServicePeers,
+        offer_client: OfferClient,
+        publisher: LoadPublisher,
         clock: Clock,
         log: EventLog,
     ) -> None:
-        """Move nothing yet."""
+        """Create a coordinator; ``async_run`` starts balancing."""
         self._own = own
         self._holds = holds
         self._life = life
         self._queue = queue
-        self._others = others
-        self._offers = offers
-        self._teller = teller
+        self._peers = peers
+        self._offer_client = offer_client
+        self._publisher = publisher
         self._clock = clock
         self._log = log
         self._meter = LoadMeter()
-        self._reserved: list[tuple[float, float]] = []
-        self._told_at = 0.0
-        self._rests_until = 0.0
-        self._settled_at: dict[KeyRange, float] = {}
+        self._reservations: list[tuple[float, float]] = []
+        self._published_at = 0.0
+        self._paused_until = 0.0
+        self._owned_since: dict[KeyRange, float] = {}
         self._random = random.Random(own.boot)
-        self._pauses = MoveBackoff(self._random)
+        self._backoff = MoveBackoff(self._random)
         self.is_leaving = False
         self.is_drained = False
 
     @property
-    def _takes_nothing(self) -> bool:
-        """Tell whether keys given to this member now would be served late."""
+    def _refuses_keys(self) -> bool:
+        """Return whether keys transferred here now would be served late."""
         return self.is_leaving or self._holds.registry.is_waiting
 
     def observe(self, key: int, work_s: float) -> None:
-        """Count the demand of one request."""
+        """Add the demand of a request, with its expected work in seconds."""
         self._meter.observe(key, work_s, self._clock.now())
 
     def load(self) -> Load:
-        """Return the own load, with what was promised to be taken over."""
+        """Return the own load, including work accepted but not measured."""
         now = self._clock.now()
-        self._reserved = [each for each in self._reserved if each[0] > now]
-        work = self._meter.demand(now) + sum(each[1] for each in self._reserved)
+        self._reservations = [
+            each for each in self._reservations if each[0] > now
+        ]
+        work = self._meter.demand(now) + sum(
+            each[1] for each in self._reservations
+        )
         slots = max(1, round(self._queue.usable_slots(now)))
-        share = LEAVING_SHARE if self._takes_nothing else work / slots
+        share = LEAVING_SHARE if self._refuses_keys else work / slots
         return Load(share, self._queue.estimate.mean_s(), slots)
 
     def on_offer(self, offer: Offer) -> OfferReply:
-        """Accept work if that leaves this server below the sender.
+        """Accept offered work if the own load stays below the sender's.
 
-        An offer goes to an address, which may have passed to an instance of
-        another service.
+        The service is compared because the address an offer is sent to may have
+        been reused by an instance of another service.
         """
         own = self.load()
         ratio = own.work_s / offer.work_s if offer.work_s > 0 else 1.0
@@ -108,27 +112,27 @@
         after = own.share + work / own.slots
         is_accepted = (
             offer.service == self._own.service
-            and not self._takes_nothing
+            and not self._refuses_keys
             and self._life.takes_work
             and after < offer.share
         )
         if is_accepted:
-            until = self._clock.now() + RESERVED_S
-            self._reserved.append((until, work))
+            until = self._clock.now() + RESERVATION_S
+            self._reservations.append((until, work))
         return OfferReply(is_accepted, own.share, own.work_s, own.slots)
 
     def leave(self) -> None:
-        """Begin to give everything away; nobody gives this member keys."""
+        """Start to transfer all keys away and refuse new ones."""
         if self.is_leaving:
             return
         self.is_leaving = True
         self._holds.registry.takes_keys = False
-        self._teller.tell_load(self.load(), self._others.names())
+        self._publisher.tell_load(self.load(), self._peers.names())
 
     def resume(self) -> None:
-        """Take keys again: the server has begun a new life.
+        """Acquire keys again after a new server incarnation has started.
 
-        A server that an operator has drained stays without keys.
+        A server drained by an operator stays without keys.
         """
         if self.is_drained:
             return
@@ -136,29 +140,29 @@
         self._holds.registry.takes_keys = True
 
     async def async_run(self) -> None:
-        """Look at the loads until cancelled."""
+        """Balance load periodically until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             if not self._holds.registry.is_joined:
                 continue
-            self._note_ranges(self._clock.now())
+            self._track_ranges(self._clock.now())
             if self.is_leaving:
                 await self.async_evacuate()
             else:
-                await self._async_even_out()
+                await self._async_rebalance()
 
     async def async_evacuate(self) -> None:
-        """Give every range away, each to a member with room.
+        """Transfer all ranges to the least loaded members.
 
-        While the store is away they stay: once released, nobody would serve
-        them before it is back.
+        Ranges stay here while the store is unavailable: once released, they
+        would be unserved until it is available again.
         """
         ranges = self._own_ranges()
         if not ranges or not await self._holds.async_is_store_there():
             return
         now = self._clock.now()
-        load_by_member = self._others.receivers(now)
-        target_by_keys = share_out(
+        load_by_member = self._peers.receivers(now)
+        target_by_keys = assign_ranges(
             ranges, self._meter.by_key(now), load_by_member
         )
         keys_by_target: dict[str, list[KeyRange]] = {}
@@ -174,34 +178,36 @@
             )
         )
 
-    async def _async_even_out(self) -> None:
+    async def _async_rebalance(self) -> None:
         own = self.load()
         now = self._clock.now()
         if own.share < IDLE_LOAD:
-            self._tell(own, now)
+            self._publish_load(own, now)
             return
-        if now < self._rests_until or self._others.must_yield(now):
+        if now < self._paused_until or self._peers.must_yield(now):
             return
         loads = {
             name: load
-            for name, load in self._others.receivers(now).items()
-            if load is not NO_LOAD
+            for name, load in self._peers.receivers(now).items()
+            if load is not ASSUMED_LOAD
         }
         moves = choose_moves(
-            own, loads, self._movable(now), self._meter.by_key(now)
+            own, loads, self._movable_ranges(now), self._meter.by_key(now)
         )
         if not moves:
             return
-        passed = await asyncio.gather(
+        transfers = await asyncio.gather(
             *(self._async_move(own, move) for move in moves)
         )
-        # Keys are served while it rests, but not while a change waits.
-        rest_s = self._holds.registry.turns.rest_s()
-        pause_s = self._pauses.on_moves(passed.count(True), passed.count(False))
-        self._rests_until = self._clock.now() + max(rest_s, pause_s)
+        # Keys are served during this pause, but not while a map change waits.
+        turn_pause_s = self._holds.registry.turns.rest_s()
+        pause_s = self._backoff.on_moves(
+            transfers.count(True), transfers.count(False)
+        )
+        self._paused_until = self._clock.now() + max(turn_pause_s, pause_s)
 
     async def _async_move(self, own: Load, move: Move) -> bool | None:
-        """Return whether keys have passed, or nothing if they stayed here."""
+        """Return whether the transfer succeeded, or None if not attempted."""
         offer = Offer(
             self._own.name,
             self._own.service,
@@ -209,13 +215,13 @@
             move.work,
             own.work_s,
         )
-        reply = await self._offers.async_offer(move.target, offer)
+        reply = await self._offer_client.async_offer(move.target, offer)
         if reply is None:
-            self._others.loads.forget(move.target)
+            self._peers.loads.forget(move.target)
             return None
         now = self._clock.now()
-        told = Load(reply.share, reply.work_s, reply.slots)
-        self._others.loads.record(move.target, told, now)
+        reported = Load(reply.share, reply.work_s, reply.slots)
+        self._peers.loads.record(move.target, reported, now)
         self._log.write(
             'move-offered',
             first=move.keys.first,
@@ -237,36 +243,38 @@
         key_map = self._holds.registry.key_map
         return [each.keys for each in key_map.owned_by(self._own.name)]
 
-    def _note_ranges(self, now: float) -> None:
-        """Note since when the keys of each range have been here.
+    def _track_ranges(self, now: float) -> None:
+        """Record since when this member has owned the keys of each range.
 
-        What is left of a range that was cut has been here as long as it.
+        The remainder of a split range keeps the start time of that range.
         """
-        known = self._settled_at
-        self._settled_at = {
-            keys: known.get(keys, _inherited(keys, known, now))
+        known = self._owned_since
+        self._owned_since = {
+            keys: known.get(keys, _inherited_since(keys, known, now))
             for keys in self._own_ranges()
         }
 
-    def _movable(self, now: float) -> list[KeyRange]:
-        """Return ranges that have been here long enough to be measured."""
+    def _movable_ranges(self, now: float) -> list[KeyRange]:
+        """Return the ranges owned long enough for their load to be known."""
         return [
             keys
-            for keys, since in self._settled_at.items()
-            if now - since >= SETTLE_S
+            for keys, since in self._owned_since.items()
+            if now - since >= MIN_OWNED_S
         ]
 
-    def _tell(self, own: Load, now: float) -> None:
-        if now - self._told_at < IDLE_TELL_S:
+    def _publish_load(self, own: Load, now: float) -> None:
+        if now - self._published_at < IDLE_PUBLISH_INTERVAL_S:
             return
-        self._told_at = now
-        self._teller.tell_load(own, self._others.listeners(self._random))
+        self._published_at = now
+        self._publisher.tell_load(
+            own, self._peers.publish_targets(self._random)
+        )
 
 
-def _inherited(
+def _inherited_since(
     keys: KeyRange, since_by_keys: dict[KeyRange, float], now: float
 ) -> float:
-    """Return since when the range that these keys were cut from is known."""
+    """Return the start time of the range these keys were split from."""
     for known, since in since_by_keys.items():
         if known.overlap(keys) == keys:
             return since
--- a/plantaingrade/balance/entity.py
+++ b/plantaingrade/balance/entity.py
@@ -1,4 +1,4 @@
-"""Typed loads and moves."""
+"""Types for loads, free capacity and moves."""
 
 from msgspec import Struct
 
@@ -6,11 +6,11 @@
 
 
 class Load(Struct, frozen=True):
-    """Load of one member's server.
+    """Load of the server of a member.
 
-    ``share`` is the work asked for in a second, as a share of the seconds
-    that its slots have; above 1 it cannot keep up. ``work_s`` is how long an
-    average request takes there, which compares the speeds of servers.
+    ``share`` is the work requested per second divided by the number of slots;
+    above 1 the server is overloaded. ``work_s`` is the mean duration of a
+    request in seconds, used to compare the speeds of servers.
     """
 
     share: float
@@ -19,10 +19,10 @@
 
 
 class FreeCapacity(Struct, frozen=True):
-    """How soon a server could run one more request, in seconds.
+    """How soon a server could complete a further request, in seconds.
 
-    ``wait_s`` is the expected wait for a slot, ``work_s`` how long such a
-    request takes there, and ``failures`` the share that failed there lately.
+    ``wait_s`` is the expected wait for a slot, ``work_s`` the expected duration
+    of the request, and ``failures`` the share of recent requests that failed.
     """
 
     wait_s: float
@@ -31,19 +31,19 @@
 
     @property
     def completion_s(self) -> float:
-        """Return when the request would have ended."""
+        """Return the expected time until the request completes."""
         return self.wait_s + self.work_s
 
 
 class KeyLoad(Struct, frozen=True):
-    """Work that one key asked for in a second, in seconds of a slot."""
+    """Work requested for a key, in slot seconds per second."""
 
     key: int
     work: float
 
 
 class Move(Struct, frozen=True):
-    """A range that should pass to another member, with the work it brings."""
+    """A key range to move to another member, with its work per second."""
 
     keys: KeyRange
     target: str
--- a/plantaingrade/balance/peer_loads.py
+++ b/plantaingrade/balance/peer_loads.py
@@ -1,37 +1,37 @@
-"""What is known of the loads of other servers."""
+"""Loads reported by other members."""
 
-from plantaingrade.balance.const import LOAD_MAX_AGE_S
+from plantaingrade.balance.const import MAX_LOAD_AGE_S
 from plantaingrade.balance.entity import Load
 
 
 class PeerLoads:
-    """Newest load of each member, with its age."""
+    """Latest reported load of each member; reports expire."""
 
-    __slots__ = ('_seen_by_member',)
+    __slots__ = ('_load_by_member',)
 
     def __init__(self) -> None:
-        """Know nothing."""
-        self._seen_by_member: dict[str, tuple[Load, float]] = {}
+        """Create an empty table of loads."""
+        self._load_by_member: dict[str, tuple[Load, float]] = {}
 
     def record(self, member: str, load: Load, now: float) -> None:
-        """Take what a member said of its load."""
-        self._seen_by_member[member] = (load, now)
+        """Record the load reported by a member."""
+        self._load_by_member[member] = (load, now)
 
     def forget(self, member: str) -> None:
-        """Drop a member."""
-        self._seen_by_member.pop(member, None)
+        """Remove a member."""
+        self._load_by_member.pop(member, None)
 
     def find(self, member: str, now: float) -> Load | None:
-        """Return a member's load unless it is too old."""
-        seen = self._seen_by_member.get(member)
-        if seen is None or now - seen[1] > LOAD_MAX_AGE_S:
+        """Return the load of a member unless it has expired."""
+        entry = self._load_by_member.get(member)
+        if entry is None or now - entry[1] > MAX_LOAD_AGE_S:
             return None
-        return seen[0]
+        return entry[0]
 
-    def fresh(self, now: float) -> dict[str, Load]:
-        """Return all loads that are not too old, by member."""
+    def recent(self, now: float) -> dict[str, Load]:
+        """Return all loads that have not expired, by member."""
         return {
             member: load
-            for member, (load, seen_at) in self._seen_by_member.items()
-            if now - seen_at <= LOAD_MAX_AGE_S
+            for member, (load, recorded_at) in self._load_by_member.items()
+            if now - recorded_at <= MAX_LOAD_AGE_S
         }
--- a/plantaingrade/balance/policy.py
+++ b/plantaingrade/balance/policy.py
@@ -1,9 +1,10 @@
-"""Decide which keys should pass to which server. Pure.
+"""Decide which key ranges to move to which server; performs no I/O.
 
-Load that answers: a few neighbouring keys bring a third or more of a service's
-requests, a server turns slow, a new server has nothing to do. The receiver
-with the least load takes half of the difference, as the smallest run of keys
-that brings it: keys that hardly anybody asks for stay where they are.
+Handles a hot range, where a few neighbouring keys receive a third or more of
+the requests of a service, a server that slows down, and a new server without
+load. The least loaded server receives about half of the load difference, as the
+shortest run of keys with enough load. Keys with few requests stay where they
+are.
 """
 
 import math
@@ -11,22 +12,22 @@
 
 from plantaingrade.balance.const import (
     MAX_MOVES,
-    MIN_DIFFERENCE,
+    MIN_LOAD_DIFFERENCE,
     MIN_LOAD_TO_MOVE,
     MIN_MOVED_LOAD,
     MIN_MOVED_SHARE,
-    SHARE_OF_DIFFERENCE,
+    MOVED_DIFFERENCE_FRACTION,
     WINDOW_S,
 )
 from plantaingrade.balance.entity import KeyLoad, Load, Move
 from plantaingrade.keyspace.entity import KeyRange
 
-# The range of ``n`` samples of a normal distribution is close to this times the
-# square root of ``ln n``, in standard deviations: 2.7 for 7, 4.7 for 67.
-EXTREMES = 2.2
-# A run that brings this part of what is wanted is good enough to prefer one
-# with fewer keys.
-ENOUGH = 0.6
+# The expected range of ``n`` samples of a normal distribution, in standard
+# deviations, is about this factor times ``sqrt(ln n)``: 2.7 for 7, 4.7 for 67.
+EXTREMES_FACTOR = 2.2
+# Among runs of keys with at least this fraction of the wanted work, the one
+# with the fewest keys is preferred.
+ENOUGH_FRACTION = 0.6
 
 
 def choose_moves(
@@ -35,15 +36,15 @@
     ranges: Sequence[KeyRange],
     key_loads: Sequence[KeyLoad],
 ) -> list[Move]:
-    """Return moves to different members that even out loads together."""
+    """Return moves to different members that together even out loads."""
     moves: list[Move] = []
-    others = dict(load_by_member)
+    candidates = dict(load_by_member)
     while len(moves) < MAX_MOVES:
-        move = choose_move(own, others, ranges, key_loads)
+        move = choose_move(own, candidates, ranges, key_loads)
         if move is None:
             break
         moves.append(move)
-        others.pop(move.target)
+        candidates.pop(move.target)
         share = own.share - move.work / max(1, own.slots)
         own = Load(share, own.work_s, own.slots)
         key_loads = [load for load in key_loads if load.key not in move.keys]
@@ -57,112 +58,119 @@
     ranges: Sequence[KeyRange],
     key_loads: Sequence[KeyLoad],
 ) -> Move | None:
-    """Return the move that evens out loads best, if one is worth it.
+    """Return the move that best evens out loads, or None if none is needed.
 
-    ``ranges`` are those that may be moved now, ``key_loads`` what their keys
-    ask for, in key order.
+    ``ranges`` are the ranges that may be moved, ``key_loads`` the loads of
+    their keys in key order.
     """
     if own.share < MIN_LOAD_TO_MOVE or not load_by_member:
         return None
     target = min(load_by_member, key=lambda name: load_by_member[name].share)
-    other = load_by_member[target]
-    if own.share - other.share < least_difference(own, len(load_by_member)):
+    peer = load_by_member[target]
+    if own.share - peer.share < min_significant_difference(
+        own, len(load_by_member)
+    ):
         return None
-    wanted = work_to_move(own, other)
-    found = densest_run(ranges, key_loads, wanted)
-    if found is None:
+    wanted_work = work_to_move(own, peer)
+    run = densest_run(ranges, key_loads, wanted_work)
+    if run is None:
         return None
-    keys, work = found
+    keys, work = run
     if work < MIN_MOVED_SHARE * own.slots:
         return None
     return Move(keys, target, work)
 
 
-def least_difference(own: Load, others: int) -> float:
-    """Return the difference from which loads differ for certain.
+def min_significant_difference(own: Load, peer_count: int) -> float:
+    """Return the smallest load difference that is not sampling noise.
 
-    A load is counted over a window, so it strays like a sample of as many
-    requests. Of many members with the same load the highest and the lowest
-    lie the further apart the more there are.
+    A load is measured over a window and varies with the number of requests in
+    it. Among members with equal load, the difference between the highest and
+    the lowest sample grows with the number of members.
     """
-    strays = math.sqrt(own.share * own.work_s / (max(1, own.slots) * WINDOW_S))
-    extremes = EXTREMES * math.sqrt(math.log(max(1, others)))
-    return max(MIN_DIFFERENCE, strays * extremes)
+    deviation = math.sqrt(
+        own.share * own.work_s / (max(1, own.slots) * WINDOW_S)
+    )
+    extremes_factor = EXTREMES_FACTOR * math.sqrt(math.log(max(1, peer_count)))
+    return max(MIN_LOAD_DIFFERENCE, deviation * extremes_factor)
 
 
-def work_to_move(own: Load, other: Load) -> float:
-    """Return the work, in seconds of an own slot, that evens out two loads.
+def work_to_move(own: Load, peer: Load) -> float:
+    """Return the work to move to a peer, in own slot seconds per second.
 
-    Moving ``w`` lowers the own share by ``w / slots`` and raises the other's
-    by ``w * ratio / other.slots``, where the ratio compares their speeds.
+    Moving ``w`` lowers the own share by ``w / own.slots`` and raises the peer's
+    share by ``w * ratio / peer.slots``, where ``ratio`` relates their speeds.
     """
-    ratio = other.work_s / own.work_s if own.work_s > 0 else 1.0
-    effect = 1 / max(1, own.slots) + ratio / max(1, other.slots)
-    difference = own.share - other.share
-    return SHARE_OF_DIFFERENCE * difference / effect
+    ratio = peer.work_s / own.work_s if own.work_s > 0 else 1.0
+    effect = 1 / max(1, own.slots) + ratio / max(1, peer.slots)
+    difference = own.share - peer.share
+    return MOVED_DIFFERENCE_FRACTION * difference / effect
 
 
 def densest_run(
     ranges: Sequence[KeyRange],
     key_loads: Sequence[KeyLoad],
-    wanted: float,
+    wanted_work: float,
 ) -> tuple[KeyRange, float] | None:
-    """Return the shortest run of keys in one range that brings the work.
+    """Return the shortest run of keys in one range with the wanted work.
 
-    A single key that brings more than is wanted cannot be cut; it would only
-    carry the overload elsewhere, so runs go round it.
+    Runs never contain a key with more than the wanted work: a single key cannot
+    be split, and moving it would only move the overload to another server.
     """
     best: tuple[KeyRange, float] | None = None
     for keys in ranges:
         inside = [load for load in key_loads if load.key in keys]
-        found = _shortest_run(inside, wanted)
-        if found is None:
+        run = _shortest_run(inside, wanted_work)
+        if run is None:
             continue
-        if best is None or _is_better(found, best, wanted):
-            best = found
+        if best is None or _is_better(run, best, wanted_work):
+            best = run
     if best is None or best[1] < MIN_MOVED_LOAD:
         return None
     return best
 
 
 def _shortest_run(
-    loads: Sequence[KeyLoad], wanted: float
+    loads: Sequence[KeyLoad], wanted_work: float
 ) -> tuple[KeyRange, float] | None:
-    """Slide over the keys of one range."""
+    """Return the best run of one range, found with a sliding window."""
     best: tuple[KeyRange, float] | None = None
     start = 0
     total = 0.0
     for end, load in enumerate(loads):
         total += load.work
-        while total > wanted and start <= end:
+        while total > wanted_work and start <= end:
             total -= loads[start].work
             start += 1
         if start > end:
             continue
-        found = (KeyRange(loads[start].key, load.key), total)
-        if best is None or _is_better(found, best, wanted):
-            best = found
+        run = (KeyRange(loads[start].key, load.key), total)
+        if best is None or _is_better(run, best, wanted_work):
+            best = run
     return best
 
 
 def _is_better(
-    one: tuple[KeyRange, float], other: tuple[KeyRange, float], wanted: float
+    first: tuple[KeyRange, float],
+    second: tuple[KeyRange, float],
+    wanted_work: float,
 ) -> bool:
-    """Compare runs: enough of the work first, then fewer keys."""
-    enough = wanted * ENOUGH
-    if one[1] >= enough and other[1] >= enough:
-        return len(one[0]) < len(other[0])
-    return one[1] > other[1]
+    """Return whether a run has more of the work, or enough in fewer keys."""
+    enough_work = wanted_work * ENOUGH_FRACTION
+    if first[1] >= enough_work and second[1] >= enough_work:
+        return len(first[0]) < len(second[0])
+    return first[1] > second[1]
 
 
-def share_out(
+def assign_ranges(
     ranges: Sequence[KeyRange],
     key_loads: Sequence[KeyLoad],
     load_by_member: Mapping[str, Load],
 ) -> dict[KeyRange, str]:
-    """Return who should take each range of a server that leaves.
+    """Return the receiver of each range of a leaving server.
 
-    Ranges that bring much go first, each to the member that then has least.
+    Ranges are assigned in order of decreasing load, each to the member with the
+    least load at that point.
     """
     if not load_by_member:
         return {}
--- a/plantaingrade/balance/service_peers.py
+++ b/plantaingrade/balance/service_peers.py
@@ -1,4 +1,4 @@
-"""The members that may take keys, with their loads."""
+"""Other members of the own service, with their loads."""
 
 import random
 
@@ -9,20 +9,20 @@
 from plantaingrade.peers.directory import Directory
 from plantaingrade.peers.entity import Member
 
-# A member that leaves says it has this load, so that nobody chooses it.
+# Load share reported by a leaving member, so that no peer selects it.
 LEAVING_SHARE = 100.0
-# Members told of the own load at a time, and how many of them in other zones if
-# there are enough near: a zone as a whole may have too much.
-TELL_COUNT = 8
-TELL_FAR = 2
-# Time for which the others leave the map to a member that leaves, in seconds.
-YIELD_S = 2.0
-# Assumed of a member with a lease that has not told its load.
-NO_LOAD = Load(0.5, 0.0, 1)
+# Number of members that receive a published load, and how many of them are in
+# other zones if the own zone has enough: a whole zone may be overloaded.
+PUBLISH_COUNT = 8
+OTHER_ZONES_COUNT = 2
+# Maximum time in seconds for which moves are postponed for a leaving member.
+MAX_YIELD_S = 2.0
+# Load assumed for a member that has a lease but has not reported its load.
+ASSUMED_LOAD = Load(0.5, 0.0, 1)
 
 
 class ServicePeers:
-    """Other members of the own service."""
+    """Other members of the own service and their loads."""
 
     __slots__ = (
         '_directory',
@@ -39,7 +39,7 @@
         directory: Directory,
         loads: PeerLoads,
     ) -> None:
-        """Know them by rows in the store, by messages and by their loads."""
+        """Use store rows, the member directory and reported loads."""
         self._own = own
         self._registry = registry
         self._directory = directory
@@ -47,34 +47,39 @@
         self.loads = loads
 
     def names(self) -> list[str]:
-        """Return all other members of the service."""
+        """Return the names of all other members of the service."""
         return [
             member.name
             for member in self._directory.serving(self._own.service)
             if member.name != self._own.name
         ]
 
-    def listeners(self, chance: random.Random) -> list[str]:
-        """Return some members to tell of the own load, most of them near.
+    def publish_targets(self, rng: random.Random) -> list[str]:
+        """Return members to publish the own load to, mostly in the own zone.
 
-        Who has too much looks in its own zone first, and datagrams between
-        zones are dear.
+        Overloaded members search their own zone first, and datagrams between
+        zones are expensive.
         """
         own_zone = self._own.zone
-        near, far = [], []
+        same_zone, other_zones = [], []
         for member in self._directory.serving(self._own.service):
             if member.name != self._own.name:
-                side = near if member.zone == own_zone else far
-                side.append(member.name)
-        far_count = min(len(far), max(TELL_FAR, TELL_COUNT - len(near)))
-        near_count = min(len(near), TELL_COUNT - far_count)
-        return chance.sample(near, near_count) + chance.sample(far, far_count)
+                group = same_zone if member.zone == own_zone else other_zones
+                group.append(member.name)
+        other_zones_count = min(
+            len(other_zones),
+            max(OTHER_ZONES_COUNT, PUBLISH_COUNT - len(same_zone)),
+        )
+        same_zone_count = min(len(same_zone), PUBLISH_COUNT - other_zones_count)
+        return rng.sample(same_zone, same_zone_count) + rng.sample(
+            other_zones, other_zones_count
+        )
 
     def must_yield(self, now: float) -> bool:
-        """Tell whether a member that leaves has keys to give away first.
+        """Return whether moves must wait for a leaving member that has keys.
 
-        Changes of one map wait for each other, and nobody serves the keys of
-        a member that leaves meanwhile.
+        Changes of a key map wait for each other, and the keys of the leaving
+        member are unserved while its change waits.
         """
         owners = self._registry.key_map.owners()
         known = self._leaving_since_by_name
@@ -84,7 +89,7 @@
             if name in owners and self._is_leaving(name, now)
         }
         return any(
-            now - since < YIELD_S
+            now - since < MAX_YIELD_S
             for since in self._leaving_since_by_name.values()
         )
 
@@ -93,15 +98,15 @@
         return load is not None and load.share >= LEAVING_SHARE
 
     def receivers(self, now: float) -> dict[str, Load]:
-        """Return the members that may take keys."""
+        """Return the members that may acquire keys, with their loads."""
         rows = live_members(self._registry)
         receivers: dict[str, Load] = {}
         for name in self.names():
             load = self.loads.find(name, now)
             if load is None and name in rows:
-                load = NO_LOAD
-            is_out = self._directory.is_suspect(name, now)
-            if load is not None and not is_out:
+                load = ASSUMED_LOAD
+            is_suspect = self._directory.is_suspect(name, now)
+            if load is not None and not is_suspect:
                 receivers[name] = load
         return {
             name: load
--- a/tests/balance/__init__.py
+++ b/tests/balance/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of balance."""
+"""Tests for load balancing."""
--- a/tests/balance/fleet.py
+++ b/tests/balance/fleet.py
@@ -1,8 +1,8 @@
-"""Play a service of many servers against the balance of keys, on virtual time.
+"""Simulation of key balancing between many servers, in virtual time.
 
-Each server has its own balance coordinator. What they share is the one row of
-the store that holds the map: changes of it wait for the store's part one after
-the other, and one that was made from an older version is sent again.
+Each server has its own balance coordinator. They share the store row with the
+key map: its changes are executed one after the other, and a change based on an
+older version is repeated.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 from plantaingrade.balance.coordinator import BalanceCoordinator
 from plantaingrade.balance.entity import Load
 from plantaingrade.balance.peer_loads import PeerLoads
-from plantaingrade.balance.service_peers import TELL_COUNT
+from plantaingrade.balance.service_peers import PUBLISH_COUNT
 from plantaingrade.eventlog import EventLog
 from plantaingrade.holds.transfer import CROWDED_LIMIT_S
 from plantaingrade.holds.turns import TurnPauses
@@ -37,62 +37,62 @@
 
 SLOTS = 6
 WORK_S = 0.2
-# One way to the store, and a turn in its part: 150 transactions a second.
-STORE_WAY_S = 0.003
-TURN_S = 1 / 150
-# A release waits for work that runs.
+# One-way delay to the store, and duration of a transaction: 150 per second.
+STORE_DELAY_S = 0.003
+TRANSACTION_S = 1 / 150
+# Duration of a release, which waits for running work.
 RELEASE_S = 0.1
-PATCHES = 64
+BUCKETS = 64
 
 
 class MapRow:
-    """The row that holds the map."""
+    """Store row with the key map."""
 
     def __init__(self) -> None:
         self.version = 0
-        self.free_at = 0.0
+        self.available_at = 0.0
         self.calls = 0
 
     async def async_change(self, expected: int) -> bool:
-        """Take a turn; tell whether the version was still the expected one."""
+        """Change the map if its version matches; return whether it did."""
         loop = asyncio.get_running_loop()
         self.calls += 1
-        await asyncio.sleep(STORE_WAY_S)
-        self.free_at = max(self.free_at, loop.time()) + TURN_S
-        await asyncio.sleep(self.free_at - loop.time())
+        await asyncio.sleep(STORE_DELAY_S)
+        self.available_at = max(self.available_at, loop.time()) + TRANSACTION_S
+        await asyncio.sleep(self.available_at - loop.time())
         is_done = expected == self.version
         if is_done:
             self.version += 1
-        await asyncio.sleep(STORE_WAY_S)
+        await asyncio.sleep(STORE_DELAY_S)
         return is_done
 
 
 @dataclass
-class Seen:
-    """What came of the requests and of the moves."""
+class Stats:
+    """Counts of requests and moves."""
 
-    asked: int = 0
+    requests: int = 0
     unheld: int = 0
     moves: Counter = field(default_factory=Counter)
     calls: int = 0
-    worst_shares: list[float] = field(default_factory=list)
+    load_shares: list[float] = field(default_factory=list)
 
     @property
-    def unheld_part(self) -> float:
-        """Return the part of the requests that were for unheld keys."""
-        return self.unheld / max(1, self.asked)
+    def unheld_share(self) -> float:
+        """Return the share of requests for unheld keys."""
+        return self.unheld / max(1, self.requests)
 
 
 class Server:
-    """One server: its keys, and the holds as its coordinator sees them."""
+    """A server with its keys, and fakes of all its coordinator depends on."""
 
     def __init__(self, name: str, keys: KeyRange, fleet: 'Fleet') -> None:
         self.name = name
         self.ranges = [keys]
         self.fleet = fleet
         self.moving_since: dict[KeyRange, float] = {}
-        self.writing = asyncio.Lock()
-        self.ready: list[asyncio.Future[bool]] = []
+        self.commit_lock = asyncio.Lock()
+        self.pending: list[asyncio.Future[bool]] = []
         self.turns = TurnPauses(random.Random(name))
         self.registry = SimpleNamespace(
             is_joined=True,
@@ -128,12 +128,12 @@
     def must_yield(self, now: float) -> bool:
         return False
 
-    def listeners(self, chance: random.Random) -> list[str]:
-        others = self.names()
-        return chance.sample(others, min(TELL_COUNT, len(others)))
+    def publish_targets(self, rng: random.Random) -> list[str]:
+        peers = self.names()
+        return rng.sample(peers, min(PUBLISH_COUNT, len(peers)))
 
     def receivers(self, now: float) -> dict[str, Load]:
-        loads = self.loads.fresh(now)
+        loads = self.loads.recent(now)
         loads.pop(self.name, None)
         return loads
 
@@ -144,41 +144,41 @@
             servers[name].loads.record(self.name, load, now)
 
     async def async_offer(self, target: str, offer: Offer) -> OfferReply:
-        await asyncio.sleep(STORE_WAY_S)
+        await asyncio.sleep(STORE_DELAY_S)
         servers = self.fleet.servers
         return servers[target].balance.on_offer(offer)
 
     async def async_give(self, keys: list[KeyRange], target: str) -> bool:
-        """Release, change the map, hand over: as the transfers do."""
+        """Release the keys, change the map and transfer the keys."""
         now = asyncio.get_running_loop().time()
         for each in keys:
             self.moving_since[each] = now
         await asyncio.sleep(RELEASE_S)
         is_done = await self._async_commit()
-        self.fleet.seen.moves['done' if is_done else 'failed'] += 1
+        self.fleet.stats.moves['done' if is_done else 'failed'] += 1
         for each in keys:
             self.moving_since.pop(each)
             if is_done:
-                self._pass_on(each, target)
+                self._transfer(each, target)
         return is_done
 
     async def _async_commit(self) -> bool:
-        """Change the map for all moves that are ready then."""
+        """Change the map for all pending moves at once."""
         move = asyncio.get_running_loop().create_future()
-        self.ready.append(move)
-        async with self.writing:
+        self.pending.append(move)
+        async with self.commit_lock:
             if not move.done():
-                joint = self.ready
-                self.ready = []
+                batch = self.pending
+                self.pending = []
                 is_done = await self._async_change()
-                for each in joint:
+                for each in batch:
                     each.set_result(is_done)
         return move.result()
 
     async def _async_change(self) -> bool:
         loop = asyncio.get_running_loop()
-        ends = loop.time() + CROWDED_LIMIT_S
-        while loop.time() <= ends:
+        ends_at = loop.time() + CROWDED_LIMIT_S
+        while loop.time() <= ends_at:
             row = self.fleet.row
             sent_at = loop.time()
             if await row.async_change(row.version):
@@ -186,10 +186,10 @@
                 return True
             now = loop.time()
             pause_s = self.turns.on_late(now - sent_at)
-            await asyncio.sleep(max(0.0, min(pause_s, ends - now)))
+            await asyncio.sleep(max(0.0, min(pause_s, ends_at - now)))
         return False
 
-    def _pass_on(self, keys: KeyRange, target: str) -> None:
+    def _transfer(self, keys: KeyRange, target: str) -> None:
         self.ranges = [
             rest for each in self.ranges for rest in each.without(keys)
         ]
@@ -197,7 +197,7 @@
         servers[target].ranges.append(keys)
 
     def is_unheld(self, key: int, now: float) -> bool:
-        """Tell whether a request for a key would be refused."""
+        """Return whether a request for a key would be refused."""
         return any(
             key in keys and now - since > MAX_UNHELD_WAIT_S
             for keys, since in self.moving_since.items()
@@ -206,84 +206,85 @@
 
 @dataclass(frozen=True)
 class Demand:
-    """Load, as a share of all slots, and how unevenly keys are asked for.
+    """Load, as a share of all slots, and its distribution over keys.
 
-    ``patch_share`` of it asks for ``patch_keys`` neighbouring keys. Of the
-    rest the first keys get most: the key in place ``n`` gets ``n ** -skew``.
+    ``hot_share`` of the requests are for ``hot_keys`` neighbouring keys. The
+    others are distributed over buckets of keys: bucket ``n`` has the weight
+    ``(n + 0.5) ** -skew``.
     """
 
     share: float
     skew: float = 0.0
-    patch_share: float = 0.0
-    patch_keys: int = 1
+    hot_share: float = 0.0
+    hot_keys: int = 1
 
 
 class Fleet:
-    """Servers and their callers."""
+    """Simulated servers and callers."""
 
     def __init__(self, servers: int, demand: Demand, seed: int) -> None:
         self.demand = demand
         self.random = random.Random(seed)
         self.row = MapRow()
-        self.seen = Seen()
+        self.stats = Stats()
         self.servers: dict[str, Server] = {}
         self._count = servers
         self._weights = list(
             accumulate(
-                (patch + 0.5) ** -demand.skew for patch in range(PATCHES)
+                (bucket + 0.5) ** -demand.skew for bucket in range(BUCKETS)
             )
         )
 
-    def play(self, warm_s: float, length_s: float) -> Seen:
-        """Return what was seen after ``warm_s``, for ``length_s``."""
-        run(self._async_play(warm_s, length_s))
-        self.seen.calls = self.row.calls
-        return self.seen
+    def simulate(self, warmup_s: float, duration_s: float) -> Stats:
+        """Return the counts of ``duration_s`` seconds after the warmup."""
+        run(self._async_simulate(warmup_s, duration_s))
+        self.stats.calls = self.row.calls
+        return self.stats
 
-    async def _async_play(self, warm_s: float, length_s: float) -> None:
-        parts = cut(ALL_KEYS, self._count)
-        for place, keys in enumerate(parts):
-            name = f's@{place}'
+    async def _async_simulate(self, warmup_s: float, duration_s: float) -> None:
+        ranges = cut(ALL_KEYS, self._count)
+        for index, keys in enumerate(ranges):
+            name = f's@{index}'
             self.servers[name] = Server(name, keys, self)
         tasks = [
             asyncio.create_task(server.balance.async_run())
             for server in self.servers.values()
         ]
-        await self._async_ask(warm_s)
-        self.seen = Seen()
+        await self._async_send_requests(warmup_s)
+        self.stats = Stats()
         self.row.calls = 0
-        await self._async_ask(length_s)
+        await self._async_send_requests(duration_s)
         for task in tasks:
             task.cancel()
 
-    async def _async_ask(self, length_s: float) -> None:
+    async def _async_send_requests(self, duration_s: float) -> None:
         loop = asyncio.get_running_loop()
-        ends = loop.time() + length_s
+        ends_at = loop.time() + duration_s
         per_s = self.demand.share * self._count * SLOTS / WORK_S
         names = list(self.servers)
-        while loop.time() < ends:
+        while loop.time() < ends_at:
             await asyncio.sleep(self.random.expovariate(per_s))
-            self._ask(self._draw_key(), names, loop.time())
+            self._send_request(self._random_key(), names, loop.time())
 
-    def _ask(self, key: int, names: list[str], now: float) -> None:
+    def _send_request(self, key: int, names: list[str], now: float) -> None:
         owner = next(
             server
             for server in self.servers.values()
             if any(key in keys for keys in server.ranges)
         )
         owner.balance.observe(key, WORK_S)
-        self.seen.asked += 1
-        self.seen.unheld += owner.is_unheld(key, now)
+        self.stats.requests += 1
+        self.stats.unheld += owner.is_unheld(key, now)
         load = owner.balance.load()
-        self.seen.worst_shares.append(load.share)
-        asker = self.servers[self.random.choice(names)]
-        asker.loads.record(owner.name, load, now)
+        self.stats.load_shares.append(load.share)
+        sender = self.servers[self.random.choice(names)]
+        sender.loads.record(owner.name, load, now)
 
-    def _draw_key(self) -> int:
+    def _random_key(self) -> int:
         demand = self.demand
-        if self.random.random() < demand.patch_share:
-            return KEY_COUNT // 2 + self.random.randrange(demand.patch_keys)
-        drawn = self.random.random() * self._weights[-1]
-        patch = bisect_right(self._weights, drawn)
-        size = KEY_COUNT // PATCHES
-        return patch * size + self.random.randrange(size)
+        if self.random.random() < demand.hot_share:
+            return KEY_COUNT // 2 + self.random.randrange(demand.hot_keys)
+        point = self.random.random() * self._weights[-1]
+        bucket = bisect_right(self._weights, point)
+        size = KEY_COUNT // BUCKETS
+        return bucket * size + self.random.randrange(size)
--- a/tests/balance/test_coordinator.py
+++ b/tests/balance/test_coordinator.py
@@ -1,4 +1,4 @@
-"""How soon a hot spot is passed on."""
+"""Tests for how soon a hot range is moved."""
 
 import asyncio
 import os
@@ -10,7 +10,7 @@
 from plantaingrade.admission.estimate import WorkEstimate
 from plantaingrade.admission.slots import SlotQueue
 from plantaingrade.backends.life import BackendLife
-from plantaingrade.balance.const import LOOK_S, SETTLE_S
+from plantaingrade.balance.const import MIN_OWNED_S, POLL_INTERVAL_S
 from plantaingrade.balance.coordinator import BalanceCoordinator
 from plantaingrade.balance.entity import Load
 from plantaingrade.balance.peer_loads import PeerLoads
@@ -25,18 +25,18 @@
 WORK_S = 0.06
 SLOTS = 6
 IDLE = Load(0.1, WORK_S, SLOTS)
-# Where virtual time starts, and the pause between requests of a calm time.
+# Start of virtual time, and interval between requests under calm load.
 START_S = 1000.0
 CALM_PAUSE_S = 0.1
 HOT_KEYS = range(20_200, 20_300)
 
 
 class FakeHolds:
-    """One range at first; what is given away is gone."""
+    """Fake holds with one range at first; transferred keys are removed."""
 
     def __init__(self) -> None:
         self.ranges = [KeyRange(0, 65_535)]
-        self.given_at: list[float] = []
+        self.moved_at: list[float] = []
         self.registry = SimpleNamespace(
             is_joined=True,
             takes_keys=True,
@@ -52,20 +52,20 @@
         return True
 
     async def async_give(self, keys: list[KeyRange], _: str) -> bool:
-        self.given_at.append(asyncio.get_running_loop().time())
-        for given in keys:
+        self.moved_at.append(asyncio.get_running_loop().time())
+        for moved in keys:
             self.ranges = [
-                rest for each in self.ranges for rest in each.without(given)
+                rest for each in self.ranges for rest in each.without(moved)
             ]
         return True
 
 
-class FakeOthers:
-    """Three idle members that accept whatever is offered."""
+class FakePeers:
+    """Fake peers: three idle members that accept all offers."""
 
     def __init__(self) -> None:
         self.loads = PeerLoads()
-        self.load_by_name = {f's@{place}': IDLE for place in '234'}
+        self.load_by_name = {f's@{index}': IDLE for index in '234'}
 
     def names(self) -> list[str]:
         return list(self.load_by_name)
@@ -73,7 +73,7 @@
     def must_yield(self, _: float) -> bool:
         return False
 
-    def listeners(self, _: random.Random) -> list[str]:
+    def publish_targets(self, _: random.Random) -> list[str]:
         return list(self.load_by_name)
 
     def receivers(self, _: float) -> dict[str, Load]:
@@ -83,105 +83,105 @@
         return OfferReply(True, 0.1, WORK_S, SLOTS)
 
     def tell_load(self, *_: object) -> None:
-        """Reach nobody."""
+        """Send nothing."""
 
 
-def make(holds: FakeHolds, life: BackendLife) -> BalanceCoordinator:
+def make_coordinator(holds: FakeHolds, life: BackendLife) -> BalanceCoordinator:
     clock = LoopClock()
-    others = FakeOthers()
+    peers = FakePeers()
     return BalanceCoordinator(
         OWN,
         holds,
         life,
         SlotQueue(SLOTS, WorkEstimate()),
-        others,
-        others,
-        others,
+        peers,
+        peers,
+        peers,
         clock,
         EventLog('t', clock, os.open(os.devnull, os.O_WRONLY)),
     )
 
 
-def play(
-    seconds_idle: float,
-    seconds_hot: float,
+def simulate(
+    calm_s: float,
+    hot_s: float,
     turns: TurnPauses | None = None,
-    calm_share: float = 0.0,
+    calm_load: float = 0.0,
 ) -> list[float]:
-    """Return when ranges were given away, counted from the hot spot's start."""
+    """Return when ranges were moved, in seconds since the hot range began."""
     holds = FakeHolds()
     holds.registry.turns = turns or holds.registry.turns
 
-    async def story() -> float:
+    async def scenario() -> float:
         clock = LoopClock()
-        balance = make(holds, BackendLife())
+        balance = make_coordinator(holds, BackendLife())
         task = asyncio.create_task(balance.async_run())
-        while clock.now() < START_S + seconds_idle:
-            if calm_share:
-                work_s = calm_share * SLOTS * CALM_PAUSE_S
+        while clock.now() < START_S + calm_s:
+            if calm_load:
+                work_s = calm_load * SLOTS * CALM_PAUSE_S
                 balance.observe(HOT_KEYS[0], work_s)
             await asyncio.sleep(CALM_PAUSE_S)
-        began = clock.now()
-        while clock.now() < began + seconds_hot:
+        started_at = clock.now()
+        while clock.now() < started_at + hot_s:
             for key in HOT_KEYS:
                 if any(key in keys for keys in holds.ranges):
                     balance.observe(key, WORK_S)
             await asyncio.sleep(0.1)
         task.cancel()
-        return began
+        return started_at
 
-    began = run(story())
-    return [at - began for at in holds.given_at]
+    started_at = run(scenario())
+    return [time - started_at for time in holds.moved_at]
 
 
-def test_a_hot_spot_is_passed_on_at_the_first_look() -> None:
-    """Many users come at once after a calm time.
+def test_hot_range_is_moved_at_the_first_poll() -> None:
+    """Keys owned for long become hot, but are moved only after a delay.
 
-    The keys have been here for long, so nothing is to be waited for; earlier
-    the time that keys must have been here began with the hot spot.
+    This happens if the minimum time of ownership is counted from the start of
+    the load instead of the acquisition of the keys.
     """
-    given_at = play(seconds_idle=5.0, seconds_hot=1.0)
-    assert given_at[0] <= LOOK_S + 0.1
+    moved_at = simulate(calm_s=5.0, hot_s=1.0)
+    assert moved_at[0] <= POLL_INTERVAL_S + 0.1
 
 
-def test_what_is_left_of_a_cut_range_may_be_passed_on_next() -> None:
-    """One round of moves was not enough; the next does not wait anew."""
-    given_at = play(seconds_idle=5.0, seconds_hot=2.0)
-    rounds = sorted(set(given_at))
+def test_remainder_of_a_split_range_is_moved_without_delay() -> None:
+    """The remainder of a split range counts as newly acquired."""
+    moved_at = simulate(calm_s=5.0, hot_s=2.0)
+    rounds = sorted(set(moved_at))
     assert len(rounds) > 1
-    assert rounds[1] - rounds[0] < SETTLE_S
+    assert rounds[1] - rounds[0] < MIN_OWNED_S
 
 
-def test_keys_that_have_just_come_are_measured_first() -> None:
-    given_at = play(seconds_idle=0.0, seconds_hot=SETTLE_S * 2)
-    assert given_at[0] >= SETTLE_S
+def test_acquired_keys_are_measured_before_a_move() -> None:
+    moved_at = simulate(calm_s=0.0, hot_s=MIN_OWNED_S * 2)
+    assert moved_at[0] >= MIN_OWNED_S
 
 
-def test_a_crowded_map_delays_no_first_move() -> None:
+def test_late_map_changes_do_not_delay_the_first_move() -> None:
     """Changes of the map came too late some time ago.
 
-    Until one is done the member rests after each round, but a look at which
-    nothing is moved is no round: what comes after it is moved at once.
+    Until a change succeeds, the member pauses after each round of moves. A poll
+    without moves must not start a pause, which would delay the next move.
     """
     turns = TurnPauses(random.Random(1))
     for _ in range(10):
         turns.on_late(1.0)
-    given_at = play(5.0, 1.0, turns, calm_share=0.5)
-    assert given_at[0] <= LOOK_S + 0.1
+    moved_at = simulate(5.0, 1.0, turns, calm_load=0.5)
+    assert moved_at[0] <= POLL_INTERVAL_S + 0.1
 
 
 @pytest.mark.parametrize('is_waiting', [False, True])
-def test_a_run_that_waits_to_join_is_given_no_keys(is_waiting) -> None:
-    """Nobody would serve them until leases of an earlier epoch are over."""
+def test_process_waiting_to_join_receives_no_keys(is_waiting) -> None:
+    """Keys are unserved until leases of an earlier epoch have ended."""
     holds = FakeHolds()
     holds.registry.is_waiting = is_waiting
 
-    async def story() -> tuple[bool, bool]:
+    async def scenario() -> tuple[bool, bool]:
         life = BackendLife()
         life.on_named('i-1', START_S)
-        balance = make(holds, life)
+        balance = make_coordinator(holds, life)
         offer = Offer('s@2', OWN.service, 2 * LEAVING_SHARE, 1.0, WORK_S)
         is_accepted = balance.on_offer(offer).is_accepted
         return is_accepted, balance.load().share < LEAVING_SHARE
 
-    assert run(story()) == (not is_waiting, not is_waiting)
+    assert run(scenario()) == (not is_waiting, not is_waiting)
--- a/tests/balance/test_policy.py
+++ b/tests/balance/test_policy.py
@@ -1,17 +1,17 @@
-"""Which keys pass to which server."""
+"""Tests for the selection of keys to move and of their receivers."""
 
 import random
 
 from pytest import approx
 
-from plantaingrade.balance.const import MIN_DIFFERENCE, WINDOW_S
+from plantaingrade.balance.const import MIN_LOAD_DIFFERENCE, WINDOW_S
 from plantaingrade.balance.entity import KeyLoad, Load
 from plantaingrade.balance.meter import LoadMeter
 from plantaingrade.balance.policy import (
+    assign_ranges,
     choose_move,
     choose_moves,
     densest_run,
-    share_out,
     work_to_move,
 )
 from plantaingrade.keyspace.entity import KeyRange
@@ -24,7 +24,7 @@
     return Load(share, work_s, SLOTS)
 
 
-def test_the_receiver_is_the_one_with_least_load() -> None:
+def test_receiver_is_the_least_loaded_member() -> None:
     loads = [KeyLoad(key, 0.5) for key in range(100, 112)]
     move = choose_move(
         load(1.0), {'b': load(0.6), 'c': load(0.2)}, [ALL], loads
@@ -34,23 +34,23 @@
     assert move.keys.last <= 111
 
 
-def test_a_small_difference_is_left_alone() -> None:
+def test_small_load_difference_causes_no_move() -> None:
     loads = [KeyLoad(key, 0.5) for key in range(100, 112)]
-    others = {'b': load(1.0 - MIN_DIFFERENCE / 2)}
-    assert choose_move(load(1.0), others, [ALL], loads) is None
+    peers = {'b': load(1.0 - MIN_LOAD_DIFFERENCE / 2)}
+    assert choose_move(load(1.0), peers, [ALL], loads) is None
 
 
-def test_a_server_with_room_moves_nothing() -> None:
+def test_server_with_free_capacity_moves_nothing() -> None:
     loads = [KeyLoad(5, 0.5)]
     assert choose_move(load(0.2), {'b': load(0.0)}, [ALL], loads) is None
 
 
-def test_nothing_is_moved_to_nobody() -> None:
+def test_nothing_is_moved_without_receivers() -> None:
     assert choose_move(load(3.0), {}, [ALL], [KeyLoad(5, 9.0)]) is None
 
 
-def test_what_is_moved_evens_two_loads_out() -> None:
-    """A slow server takes less than a fast one for the same difference."""
+def test_moved_work_evens_out_two_loads() -> None:
+    """A slow server receives as much work as a fast one."""
     fast = work_to_move(load(1.0, 0.06), load(0.2, 0.03))
     slow = work_to_move(load(1.0, 0.06), load(0.2, 0.12))
     assert fast > slow
@@ -59,11 +59,11 @@
     assert own_after > other_after
 
 
-def test_a_hot_spot_is_cut_and_cold_keys_stay() -> None:
-    """Sixty neighbours bring most of a server's demand.
+def test_hot_range_is_split_and_cold_keys_stay() -> None:
+    """Sixty neighbouring keys cause most of the load of a server.
 
-    Half of them pass on; the thousands of keys around, which hardly anybody
-    asks for, stay, and so does every range outside.
+    About half of them must move. The thousands of keys around them, which have
+    few requests, must stay.
     """
     hot = [KeyLoad(key, 0.1) for key in range(5000, 5060)]
     cold = [KeyLoad(key, 0.01) for key in range(0, 60_000, 1000)]
@@ -74,31 +74,31 @@
     assert work == approx(2.4, abs=0.6)
 
 
-def test_a_single_key_beyond_the_amount_is_gone_round() -> None:
+def test_run_excludes_a_key_with_more_than_the_wanted_work() -> None:
     loads = [KeyLoad(10, 0.2), KeyLoad(11, 5.0), KeyLoad(12, 0.2)]
     keys, work = densest_run([ALL], loads, 1.0)
     assert 11 not in keys
     assert work == approx(0.2)
 
 
-def test_runs_stay_inside_one_range() -> None:
+def test_run_is_inside_one_range() -> None:
     ranges = [KeyRange(0, 10), KeyRange(50, 60)]
     loads = [KeyLoad(9, 0.4), KeyLoad(50, 0.4), KeyLoad(51, 0.4)]
     keys, _ = densest_run(ranges, loads, 1.0)
     assert keys == KeyRange(50, 51)
 
 
-def test_a_leaving_server_spreads_its_ranges_by_load() -> None:
+def test_ranges_of_a_leaving_server_are_assigned_by_load() -> None:
     ranges = [KeyRange(0, 9), KeyRange(20, 29), KeyRange(40, 49)]
     loads = [KeyLoad(5, 3.0), KeyLoad(25, 2.0), KeyLoad(45, 0.5)]
-    targets = share_out(ranges, loads, {'b': load(0.2), 'c': load(0.3)})
+    targets = assign_ranges(ranges, loads, {'b': load(0.2), 'c': load(0.3)})
     assert targets[KeyRange(0, 9)] == 'b'
     assert targets[KeyRange(20, 29)] == 'c'
     assert targets[KeyRange(40, 49)] == 'c'
-    assert not share_out(ranges, loads, {})
+    assert not assign_ranges(ranges, loads, {})
 
 
-def test_the_meter_counts_what_was_asked_within_its_window() -> None:
+def test_meter_counts_requests_within_its_window() -> None:
     meter = LoadMeter()
     for at in (0.0, 0.5, 1.0):
         meter.observe(7, 0.3, at)
@@ -111,9 +111,9 @@
     assert meter.demand(9.0) == approx(0.0)
 
 
-def test_demand_that_has_just_begun_is_not_taken_for_small() -> None:
-    """Nothing was asked for, then four slots' work a second. Half a second
-    later the meter shows it, and not a third of it.
+def test_new_demand_is_not_underestimated() -> None:
+    """Half a second after a demand of four slots has begun, the meter shows a
+    third of it, because it averages over the whole window.
     """
     meter = LoadMeter()
     for step in range(10):
@@ -121,34 +121,34 @@
     assert meter.demand(100.5) == approx(4.0)
 
 
-def test_several_moves_at_once_go_to_different_members() -> None:
-    """At the start of the day one server has most of what is asked for."""
+def test_concurrent_moves_go_to_different_members() -> None:
+    """One server has most of the load, and one receiver gets all of it."""
     loads = [KeyLoad(key, 0.2) for key in range(1000, 1120)]
-    others = {f'm{place}': load(0.1) for place in range(6)}
-    moves = choose_moves(load(4.0), others, [ALL], loads)
+    peers = {f'm{index}': load(0.1) for index in range(6)}
+    moves = choose_moves(load(4.0), peers, [ALL], loads)
     assert len(moves) > 2
     assert len({move.target for move in moves}) == len(moves)
-    for place, move in enumerate(moves):
-        for later in moves[place + 1 :]:
+    for index, move in enumerate(moves):
+        for later in moves[index + 1 :]:
             assert move.keys.overlap(later.keys) is None
 
 
-def test_moves_settle_a_service_with_a_hot_spot() -> None:
-    """Seven servers, and two hundred neighbours bring 40 % of the demand.
+def test_moves_balance_a_service_with_a_hot_range() -> None:
+    """Of seven servers, one with 200 hot neighbouring keys stays overloaded.
 
-    Played in rounds: each server above the others passes on what the policy
-    chooses. The busiest ends near the mean, within a few moves each; under
-    even ranges without moves it stands at three times the mean.
+    The hot keys cause 40 % of the load. In each round the busiest server moves
+    what the policy selects. Within a few moves per server the maximum must be
+    near the mean; without moves it is three times the mean.
     """
-    chooser = random.Random(4)
+    rng = random.Random(4)
     work_by_key = dict.fromkeys(range(60_000), 0)
-    for rank in range(20_000):
-        work_by_key[rank] += 8.0 / (rank + 1) ** 0.8
+    for position in range(20_000):
+        work_by_key[position] += 8.0 / (position + 1) ** 0.8
     start = 30_000
     total = sum(work_by_key.values())
     for key in range(start, start + 200):
         work_by_key[key] += 0.4 / 0.6 * total / 200
-    names = [f'm{place}' for place in range(7)]
+    names = [f'm{index}' for index in range(7)]
     scale = 0.7 * 7 * SLOTS / sum(work_by_key.values())
     loads = [KeyLoad(key, work * scale) for key, work in work_by_key.items()]
     loads = [each for each in loads if bool(each.work)]
@@ -156,77 +156,79 @@
     mean = 0.7
 
     def shares() -> dict[str, float]:
-        found = dict.fromkeys(names, 0.0)
+        total_by_name = dict.fromkeys(names, 0.0)
         for each in loads:
-            found[owner[each.key]] += each.work / SLOTS
-        return found
+            total_by_name[owner[each.key]] += each.work / SLOTS
+        return total_by_name
 
     busiest_before = max(shares().values())
     moves = 0
     for _ in range(12):
         name = max(shares(), key=shares().__getitem__)
-        now = shares()
-        others = {
-            other: load(share) for other, share in now.items() if other != name
+        share_by_name = shares()
+        peers = {
+            other: load(share)
+            for other, share in share_by_name.items()
+            if other != name
         }
         own = [each for each in loads if owner[each.key] == name]
-        move = choose_move(load(now[name]), others, [ALL], own)
+        move = choose_move(load(share_by_name[name]), peers, [ALL], own)
         if move is None:
             break
         moves += 1
         for each in own:
             if each.key in move.keys:
                 owner[each.key] = move.target
-    chooser.shuffle(names)
+    rng.shuffle(names)
     assert busiest_before > 2.0 * mean
     assert max(shares().values()) < 1.45 * mean
     assert moves <= 12
 
 
-def test_many_members_with_the_same_demand_move_next_to_nothing() -> None:
-    """Each of 67 is asked for four fifths of what it can do.
+def test_members_with_equal_demand_move_almost_nothing() -> None:
+    """Sampling noise makes members with equal demand move keys all the time.
 
-    Counted over a window their loads differ by 0.6 at any time, by chance
-    alone, so that some always moved keys to each other.
+    Measured over a window, the loads of 67 members at 80 % of their capacity
+    differ by 0.6 by chance alone.
     """
-    chance = random.Random(3)
+    rng = random.Random(3)
     work_s = 0.2
     demand = 0.8 * SLOTS / work_s
-    looks = 400
+    polls = 400
     moves = 0
-    for _ in range(looks):
+    for _ in range(polls):
         shares = [
-            _arrivals(chance, demand) * work_s / WINDOW_S / SLOTS
+            _arrivals(rng, demand) * work_s / WINDOW_S / SLOTS
             for _ in range(67)
         ]
-        own, *others = [load(share, work_s) for share in shares]
-        load_by_name = {str(place): each for place, each in enumerate(others)}
+        own, *peers = [load(share, work_s) for share in shares]
+        load_by_name = {str(index): each for index, each in enumerate(peers)}
         keys = [KeyLoad(key, 0.05) for key in range(100)]
         moves += choose_move(own, load_by_name, [ALL], keys) is not None
-    assert moves < looks / 20
+    assert moves < polls / 20
 
 
-def test_a_move_that_hardly_lightens_the_server_is_not_made() -> None:
-    """One key brings far more than the server can do, the others little.
+def test_moves_with_little_effect_are_not_made() -> None:
+    """A server with one overloading key moves another key at each poll.
 
-    Each look moved one of the others, a hundredth of the load at a time.
+    Each of these moves carries a hundredth of the load.
     """
     loads = [KeyLoad(10, 0.1), KeyLoad(11, 40.0), KeyLoad(12, 0.1)]
     assert choose_move(load(7.0), {'b': load(0.1)}, [ALL], loads) is None
 
 
-def test_a_hot_key_that_has_just_come_stays() -> None:
+def test_newly_acquired_hot_key_is_not_moved() -> None:
     loads = [KeyLoad(11, 40.0)]
-    others = {'fast': load(0.1, 0.1)}
+    peers = {'fast': load(0.1, 0.1)}
     rest = [KeyRange(0, 10)]
-    assert choose_move(load(7.0, 0.28), others, rest, loads) is None
+    assert choose_move(load(7.0, 0.28), peers, rest, loads) is None
 
 
-def _arrivals(chance: random.Random, per_s: float) -> int:
-    """Return how many requests come within a window."""
+def _arrivals(rng: random.Random, per_s: float) -> int:
+    """Return the random number of requests within a window."""
     count = 0
-    at = chance.expovariate(per_s)
+    at = rng.expovariate(per_s)
     while at < WINDOW_S:
         count += 1
-        at += chance.expovariate(per_s)
+        at += rng.expovariate(per_s)
     return count
