--- a/plantaingrade/admission/const.py
+++ b/plantaingrade/admission/const.py
@@ -1,10 +1,10 @@
-"""Constants of admission."""
+"""Constants for admission control."""
 
 CLASS_AVAILABILITY = 'availability'
 CLASS_DEFAULT = 'default'
 PRIORITY_BY_CLASS = {CLASS_AVAILABILITY: 0, CLASS_DEFAULT: 1}
 LOWEST_PRIORITY = 2
-QUEUE_PER_SLOT = 4
+MAX_QUEUED_PER_SLOT = 4
 RETRY_AFTER_S = 1
 RETRY_TOKENS_PER_REQUEST = 0.1
 RETRY_TOKENS_MAX = 50.0
