--- a/plantaingrade/holds/coordinator.py
+++ b/plantaingrade/holds/coordinator.py
@@ -29,7 +29,7 @@
 from plantaingrade.holds.witnesses import Witnesses
 from plantaingrade.keyspace.directory import KeyMaps
 from plantaingrade.keyspace.entity import Assignment, KeyRange
-from plantaingrade.peers.courier import Courier
+from plantaingrade.peers.map_relay import MapRelay
 from plantaingrade.peers.entity import Member, Token
 from plantaingrade.store.interface import Store
 
@@ -43,7 +43,7 @@
     ``on_joined`` is called once it holds a lease.
     """
 
-    courier: Courier
+    courier: MapRelay
     witnesses: Witnesses
     on_joined: Callable[[], None]
 
@@ -247,7 +247,7 @@
         is_changed = own is not None and own.version == after.version
         if committed is CommitResult.DONE and is_changed:
             before = self.registry.changed_from
-            self._courier.spread(self._member.service, before, after)
+            self._courier.publish_change(self._member.service, before, after)
         return committed
 
     async def _async_lease_loop(self) -> None:
--- a/plantaingrade/holds/epochs.py
+++ b/plantaingrade/holds/epochs.py
@@ -78,7 +78,7 @@
 
     def are_earlier_leases_over(self) -> bool:
         """Tell whether no lease of an earlier epoch can still run."""
-        if not self._store.are_told:
+        if not self._store.are_reported:
             return True
         start = self._rows.epoch_start
         if start is None:
@@ -100,7 +100,7 @@
         """
         found = self._rows.epoch_start
         is_readable = found is not None and found.is_readable
-        if is_readable or not self._store.are_told:
+        if is_readable or not self._store.are_reported:
             return None
         version = 0 if found is None else found.version
         if self.is_base:
--- a/plantaingrade/holds/transfer.py
+++ b/plantaingrade/holds/transfer.py
@@ -12,7 +12,7 @@
 from plantaingrade.holds.passing import Passage, has_passed, plan_passages
 from plantaingrade.holds.registry import Registry
 from plantaingrade.keyspace.entity import Assignment, KeyMap, KeyRange
-from plantaingrade.peers.courier import Courier
+from plantaingrade.peers.map_relay import MapRelay
 from plantaingrade.peers.entity import Token
 
 # Time for the change in the store; the range is served by nobody meanwhile.
@@ -60,7 +60,7 @@
         granter: Granter,
         clock: Clock,
         log: EventLog,
-        courier: Courier,
+        courier: MapRelay,
         on_ended: Callable[[], None],
     ) -> None:
         """Pass on what one member owns; ``on_ended`` is called after each."""
@@ -136,7 +136,9 @@
             for piece, token in zip(pieces, tokens, strict=True)
             if token
         )
-        await self._courier.async_hand(target, ready.before, ready.after, given)
+        await self._courier.async_send_handover(
+            target, ready.before, ready.after, given
+        )
         return True
 
     async def _async_commit(self, passage: Passage) -> Ready:
@@ -198,7 +200,7 @@
         Whoever does not know of a change makes its own from an older map, in
         vain. Receivers are told with their tokens: a grant without is cold.
         """
-        self._courier.spread(
+        self._courier.publish_change(
             self._registry.member.service,
             before,
             after,
--- a/plantaingrade/membership/coordinator.py
+++ b/plantaingrade/membership/coordinator.py
@@ -18,7 +18,7 @@
     NEWS_FANOUT,
 )
 from plantaingrade.membership.datagrams import DatagramEndpoint
-from plantaingrade.membership.entity import Beat
+from plantaingrade.membership.entity import Heartbeat
 from plantaingrade.membership.rpc import PullFailedError, async_pull
 
 
@@ -57,14 +57,14 @@
     async def async_run(self) -> None:
         """Gossip until cancelled."""
         while True:
-            self.spread(BEAT_FANOUT)
+            self.gossip(BEAT_FANOUT)
             await asyncio.sleep(BEAT_EVERY_S * random.uniform(*BEAT_SPREAD))
 
     def on_record(self, record: Record, _: list[ChangeOutcome]) -> None:
         """Pass news on at once."""
-        self.spread(NEWS_FANOUT)
+        self.gossip(NEWS_FANOUT)
 
-    def spread(self, fanout: int) -> None:
+    def gossip(self, fanout: int) -> None:
         """Send a beat to some random peers."""
         peers = [
             row
@@ -76,7 +76,7 @@
         for row in random.sample(peers, min(fanout, len(peers))):
             self._endpoint.send(beat, row.udp)
 
-    def on_beat(self, beat: Beat) -> None:
+    def on_heartbeat(self, beat: Heartbeat) -> None:
         """Compare generations with a peer."""
         self.generation_by_member[beat.member] = beat.generation
         if beat.draining:
@@ -89,8 +89,8 @@
         elif beat.generation < mine:
             self._endpoint.send(self._beat(), beat.udp)
 
-    def _beat(self) -> Beat:
-        return Beat(
+    def _beat(self) -> Heartbeat:
+        return Heartbeat(
             self._row.member,
             self._journal.state.generation,
             self._row.rpc,
--- a/plantaingrade/membership/entity.py
+++ b/plantaingrade/membership/entity.py
@@ -8,7 +8,7 @@
 from plantaingrade.ownership.entity import HandoverMessage
 
 
-class Beat(Message):
+class Heartbeat(Message, tag='Beat'):
     """A process tells which generation it has applied."""
 
     member: str
@@ -18,7 +18,7 @@
     draining: bool
 
 
-Datagram = LeaseMessage | HandoverMessage | Beat
+Datagram = LeaseMessage | HandoverMessage | Heartbeat
 
 
 class PullRequest(Struct, frozen=True):
--- a/plantaingrade/node/parts.py
+++ b/plantaingrade/node/parts.py
@@ -25,7 +25,7 @@
 from plantaingrade.leases.coordinator import LeaseCoordinator
 from plantaingrade.membership.coordinator import MembershipCoordinator
 from plantaingrade.membership.datagrams import DatagramEndpoint
-from plantaingrade.membership.entity import Beat
+from plantaingrade.membership.entity import Heartbeat
 from plantaingrade.metrics import Metrics
 from plantaingrade.node.const import INCARNATION_BYTES
 from plantaingrade.node.settings import Settings
@@ -202,8 +202,8 @@
 
     def _on_datagram(self, message: Any) -> None:
         match message:
-            case Beat():
-                self.membership.on_beat(message)
+            case Heartbeat():
+                self.membership.on_heartbeat(message)
             case Offer() | OfferAccepted() | Release():
                 self.ownership.on_message(message)
             case _:
--- a/plantaingrade/node/runtime.py
+++ b/plantaingrade/node/runtime.py
@@ -113,7 +113,7 @@
         self.parts.leaving = True
         self._server.end_connections()
         self.parts.ownership.handover.leave()
-        self.parts.membership.spread(len(self.state.members))
+        self.parts.membership.gossip(len(self.state.members))
         await self.parts.decider.async_resign()
         draining = StateSet(self._row.member, MemberState.DRAINING)
         await self._loops.async_try_append(draining)
--- a/plantaingrade/peers/coordinator.py
+++ b/plantaingrade/peers/coordinator.py
@@ -21,7 +21,7 @@
 from plantaingrade.peers.entity import (
     Datagram,
     Goodbye,
-    Handed,
+    Handover,
     Hello,
     Introduced,
     LoadTold,
@@ -42,7 +42,7 @@
 from plantaingrade.peers.witnesses import PeerWitnesses
 from plantaingrade.store.interface import Store
 
-HANDED_CODEC = Codec(Handed)
+HANDOVER_CODEC = Codec(Handover)
 PATH_HANDED = '/-/handed'
 HELLO_PAUSES_S = (0.2, 0.4, 0.8, 1.6, 3.2)
 JOIN_RETRY_S = 0.25
@@ -91,7 +91,7 @@
         'has_joined',
         'map_follower',
         'own',
-        'rooms',
+        'capacity_queries',
         'witnesses',
     )
 
@@ -121,7 +121,7 @@
         self._announcer = Announcer(own, directory, self._on_datagram)
         self.witnesses = PeerWitnesses(own, directory, calls, clock)
         self.map_follower = MapFollower(directory, maps, calls, log)
-        self.rooms = RoomInquiries(
+        self.capacity_queries = RoomInquiries(
             own, self._announcer.endpoint, clock, hooks.room_of
         )
         self._rows = ServiceRows(
@@ -198,7 +198,7 @@
         """Tell every member that this one leaves."""
         self._announcer.tell_all(Goodbye(self.own.name, self.own.boot))
 
-    def spread(
+    def publish_change(
         self,
         service: str,
         before: KeyMap,
@@ -239,7 +239,7 @@
                 boot=member.boot,
             )
 
-    async def async_hand(
+    async def async_send_handover(
         self,
         target: str,
         before: KeyMap,
@@ -257,7 +257,7 @@
         change = MapChanged.from_maps(
             self.own.service, self.own.name, before, after
         )
-        body = HANDED_CODEC.encode(Handed(change, tokens))
+        body = HANDOVER_CODEC.encode(Handover(change, tokens))
         reply = await self._calls.async_post(member, PATH_HANDED, body)
         if reply is None:
             self._announcer.tell(change, (target,))
@@ -272,24 +272,24 @@
         )
         self._announcer.tell(message, names)
 
-    def tell_crash(self, digests: tuple[str, ...]) -> None:
+    def announce_crash(self, digests: tuple[str, ...]) -> None:
         """Tell every member what ran at the own server when it crashed."""
         self._announcer.tell_all(ServerCrashed(digests))
 
-    def take_handed(self, body: bytes) -> Handed | None:
+    def receive_handover(self, body: bytes) -> Handover | None:
         """Take the word that keys have passed to this member.
 
         It goes to an address, which may have passed to an instance of another
         service; tokens for that one's keys are of no use here.
         """
         try:
-            handed = HANDED_CODEC.decode(body)
+            handed = HANDOVER_CODEC.decode(body)
         except MalformedMessageError as error:
             self._log.write('handed-unreadable', why=str(error))
             return None
         self.map_follower.on_changed(handed.change)
         if handed.change.service != self.own.service:
-            return Handed(handed.change, ())
+            return Handover(handed.change, ())
         return handed
 
     def _on_datagram(self, message: Datagram) -> None:
@@ -311,7 +311,7 @@
             case LoadTold():
                 self._on_load(message)
             case RoomAsked() | RoomTold():
-                self.rooms.on_datagram(message)
+                self.capacity_queries.on_datagram(message)
 
     def _on_goodbye(self, left: Goodbye) -> None:
         self._directory.remove(left.name, left.boot)
--- a/plantaingrade/peers/directory.py
+++ b/plantaingrade/peers/directory.py
@@ -40,7 +40,7 @@
         self._member_by_name[member.name] = member
         names = self._names_by_service.setdefault(member.service, set())
         names.add(member.name)
-        self.trust(member.name)
+        self.clear_suspicion(member.name)
         return True
 
     def remove(self, name: str, boot: str) -> None:
@@ -50,7 +50,7 @@
             return
         self._member_by_name.pop(name)
         self._names_by_service[known.service].discard(name)
-        self.trust(name)
+        self.clear_suspicion(name)
 
     def find(self, name: str) -> Member | None:
         """Return a member."""
@@ -78,7 +78,7 @@
         self._suspect_until[name] = now + pause_s
         return failures == UNREACHABLE_AFTER
 
-    def trust(self, name: str) -> bool:
+    def clear_suspicion(self, name: str) -> bool:
         """Note that a member answered; tell whether that is news."""
         self._suspect_until.pop(name, None)
         failures = self._failures_by_name.pop(name, 0)
--- a/plantaingrade/peers/entity.py
+++ b/plantaingrade/peers/entity.py
@@ -211,7 +211,7 @@
     token: str
 
 
-class Handed(Struct, frozen=True):
+class Handover(Struct, frozen=True):
     """Keys have passed to the receiver, by this change of the map."""
 
     change: MapChanged
--- a/plantaingrade/peers/courier.py
+++ b/plantaingrade/peers/map_relay.py
@@ -7,10 +7,10 @@
 from plantaingrade.peers.entity import Token
 
 
-class Courier(Protocol):
+class MapRelay(Protocol):
     """Tell other members of changes that were committed."""
 
-    def spread(
+    def publish_change(
         self,
         service: str,
         before: KeyMap,
@@ -22,7 +22,7 @@
         ``skipped`` names those that are told otherwise.
         """
 
-    async def async_hand(
+    async def async_send_handover(
         self,
         target: str,
         before: KeyMap,
--- a/plantaingrade/requests/peer_path.py
+++ b/plantaingrade/requests/peer_path.py
@@ -111,7 +111,7 @@
             channel.abort()
             raise
         self._pool.give_back(member.address, channel)
-        if self._directory.trust(member.name):
+        if self._directory.clear_suspicion(member.name):
             self._log.write('member-regained', member=member.name)
         headers = whole.head.headers
         load = decode_load(headers)
--- a/plantaingrade/sidecar/control.py
+++ b/plantaingrade/sidecar/control.py
@@ -10,7 +10,7 @@
 from plantaingrade.peers.coordinator import PeerCoordinator
 from plantaingrade.peers.map_follower import HEADER_VERSION, PATH_MAP
 from plantaingrade.requests.entity import Answer
-from plantaingrade.store.relay import RelayDesk
+from plantaingrade.store.relay import RelayHandler
 
 STATUS_OK = 200
 STATUS_BAD_REQUEST = 400
@@ -35,7 +35,7 @@
         holds: HoldCoordinator,
         balance: BalanceCoordinator,
         config: ConfigFollower,
-        desk: RelayDesk,
+        desk: RelayHandler,
         operators: OperatorDesk,
     ) -> None:
         """Answer from the parts of the process."""
@@ -90,7 +90,7 @@
         return Answer(STATUS_OK, (), config.source)
 
     def _take_handed(self, body: bytes) -> Answer:
-        handed = self._peers.take_handed(body)
+        handed = self._peers.receive_handover(body)
         if handed is None:
             return Answer(STATUS_BAD_REQUEST, (), b'')
         for token in handed.tokens:
--- a/plantaingrade/sidecar/process.py
+++ b/plantaingrade/sidecar/process.py
@@ -58,7 +58,7 @@
 from plantaingrade.sidecar.server_watch import LifeHooks, OwnServer, ServerWatch
 from plantaingrade.sidecar.settings import InstanceSettings, OwnOptions
 from plantaingrade.sidecar.wire import PlatformWire
-from plantaingrade.store.relay import RelayDesk, RelayedStore
+from plantaingrade.store.relay import RelayHandler, RelayedStore
 
 BOOT_BYTES = 4
 _LOGGER = logging.getLogger(__name__)
@@ -245,7 +245,7 @@
                 self._is_keyed,
                 lambda instance: self._watch.verify(instance),
                 self._balance.observe,
-                self._peers.tell_crash,
+                self._peers.announce_crash,
             ),
         )
         peer_path = PeerPath(
@@ -264,7 +264,7 @@
             self._peers.map_follower.pull,
             self._peers.look_up,
             self._load_of,
-            self._peers.rooms.async_ask,
+            self._peers.capacity_queries.async_ask,
             lambda: self._evacuations.zones,
         )
         bounds = self._settings.bounds
@@ -335,7 +335,7 @@
                 self.holds,
                 self._balance,
                 self._config,
-                RelayDesk(self._direct_store),
+                RelayHandler(self._direct_store),
                 self._operators,
             ).async_handle,
             self._balance.load,
--- a/plantaingrade/store/epochs.py
+++ b/plantaingrade/store/epochs.py
@@ -49,7 +49,7 @@
         return self._newest or 0
 
     @property
-    def are_told(self) -> bool:
+    def are_reported(self) -> bool:
         """Tell whether the store tells epochs, as one that keeps copies."""
         return self._newest is not None
 
--- a/plantaingrade/store/relay.py
+++ b/plantaingrade/store/relay.py
@@ -230,7 +230,7 @@
         self.clock.observe(sent_at, self._clock.now(), store_s)
 
 
-class RelayDesk:
+class RelayHandler:
     """Make calls in the name of other processes."""
 
     __slots__ = ('_direct',)
--- a/tests/holds/fakes.py
+++ b/tests/holds/fakes.py
@@ -439,7 +439,7 @@
         self._own = own
         self.told: list[tuple[KeyMap, KeyMap]] = []
 
-    def spread(
+    def publish_change(
         self,
         service: str,
         before: KeyMap,
@@ -453,7 +453,7 @@
             if is_told and self._world.is_heard():
                 place.maps.offer(service, after)
 
-    async def async_hand(
+    async def async_send_handover(
         self,
         target: str,
         before: KeyMap,
--- a/tests/membership/test_datagrams.py
+++ b/tests/membership/test_datagrams.py
@@ -7,7 +7,7 @@
 from plantaingrade.codec import MalformedMessageError
 from plantaingrade.leases.entity import Renew, RenewAck, RenewRefused
 from plantaingrade.membership.datagrams import DATAGRAM_CODEC, DatagramEndpoint
-from plantaingrade.membership.entity import Beat
+from plantaingrade.membership.entity import Heartbeat
 from plantaingrade.ownership.entity import Release
 from tests.cluster import FakeCluster
 
@@ -17,7 +17,7 @@
     [
         Renew('a#1', 1, 'b#1', 1.5, '127.0.0.1:1'),
         Release('casebook/1', 'a#1', 7, 'b#1', '127.0.0.1:1'),
-        Beat('a#1', 7, '127.0.0.1:1', '127.0.0.1:2', draining=False),
+        Heartbeat('a#1', 7, '127.0.0.1:1', '127.0.0.1:2', draining=False),
     ],
 )
 def test_messages_survive_the_wire(message: object) -> None:
--- a/tests/peers/test_strangers.py
+++ b/tests/peers/test_strangers.py
@@ -18,14 +18,14 @@
 from plantaingrade.peers.announcer import CODEC
 from plantaingrade.peers.calls import OFFER_CODEC, REPLY_CODEC
 from plantaingrade.peers.coordinator import (
-    HANDED_CODEC,
+    HANDOVER_CODEC,
     PeerCoordinator,
     PeerHooks,
 )
 from plantaingrade.peers.directory import Directory
 from plantaingrade.peers.entity import (
     Goodbye,
-    Handed,
+    Handover,
     Hello,
     Introduced,
     LoadTold,
@@ -75,7 +75,7 @@
     (CODEC, Introduced(OTHER)),
     (CODEC, Passed(CHANGE, ('s@3',))),
     (CODEC, Passed(Introduced(OTHER), ())),
-    (HANDED_CODEC, Handed(CHANGE, (Token(KeyRange(0, 9), 't'),))),
+    (HANDOVER_CODEC, Handover(CHANGE, (Token(KeyRange(0, 9), 't'),))),
     (OFFER_CODEC, Offer('s@2', 's', 0.9, 0.3, 0.02)),
     (REPLY_CODEC, OfferReply(True, 0.5, 0.01, 4)),
     (TRANSACTION_CODEC, Transaction((Expected(NAME, 1),), (Put(NAME, b'x'),))),
--- a/tests/sidecar/test_reused_address.py
+++ b/tests/sidecar/test_reused_address.py
@@ -15,13 +15,13 @@
 from plantaingrade.keyspace.directory import KeyMaps
 from plantaingrade.keyspace.entity import KeyRange
 from plantaingrade.peers.coordinator import (
-    HANDED_CODEC,
+    HANDOVER_CODEC,
     PeerCoordinator,
     PeerHooks,
 )
 from plantaingrade.peers.directory import Directory
 from plantaingrade.peers.entity import (
-    Handed,
+    Handover,
     MapChanged,
     Member,
     Offer,
@@ -66,7 +66,9 @@
     """
     tokens: list[Token] = []
     change = MapChanged('cases', 'cases@10.0.0.2', 1, 2, 2, (), ())
-    body = HANDED_CODEC.encode(Handed(change, (Token(KeyRange(0, 9), 't'),)))
+    body = HANDOVER_CODEC.encode(
+        Handover(change, (Token(KeyRange(0, 9), 't'),))
+    )
     clock = BootClock()
     peers = PeerCoordinator(
         OWN,
--- a/tests/store/test_relay.py
+++ b/tests/store/test_relay.py
@@ -154,7 +154,7 @@
     async def story() -> None:
         store = store_through(Relays())
         assert await store.async_read('t', 'p') == READ
-        assert not store.epochs.are_told
+        assert not store.epochs.are_reported
 
     run(story())
 
