--- a/plantaingrade/membership/__init__.py
+++ b/plantaingrade/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Spread of the journal between processes."""
+"""Replication of the journal between processes by gossip."""
--- a/plantaingrade/membership/const.py
+++ b/plantaingrade/membership/const.py
@@ -1,8 +1,8 @@
-"""Constants of membership."""
+"""Intervals, fanouts and paths of the gossip between members."""
 
-BEAT_EVERY_S = 0.5
-BEAT_FANOUT = 2
-NEWS_FANOUT = 4
+HEARTBEAT_INTERVAL_S = 0.5
+HEARTBEAT_FANOUT = 2
+RECORD_FANOUT = 4
 PULL_TIMEOUT_S = 2.0
 PULL_PATH = '/plantaingrade.Journal/Pull'
-BEAT_SPREAD = (0.8, 1.2)
+HEARTBEAT_JITTER = (0.8, 1.2)
--- a/plantaingrade/membership/coordinator.py
+++ b/plantaingrade/membership/coordinator.py
@@ -1,4 +1,4 @@
-"""Spread new records by gossip."""
+"""Replicate new journal records by gossip."""
 
 import asyncio
 import random
@@ -12,10 +12,10 @@
     Record,
 )
 from plantaingrade.membership.const import (
-    BEAT_EVERY_S,
-    BEAT_FANOUT,
-    BEAT_SPREAD,
-    NEWS_FANOUT,
+    HEARTBEAT_FANOUT,
+    HEARTBEAT_INTERVAL_S,
+    HEARTBEAT_JITTER,
+    RECORD_FANOUT,
 )
 from plantaingrade.membership.datagrams import DatagramEndpoint
 from plantaingrade.membership.entity import Heartbeat
@@ -23,13 +23,13 @@
 
 
 class MembershipCoordinator:
-    """Tell peers which generation is applied here; pull what they have."""
+    """Announce the applied generation to peers; pull newer records."""
 
     __slots__ = (
         '_endpoint',
         '_is_draining',
         '_journal',
-        '_pulling',
+        '_pull_task',
         '_row',
         'draining',
         'generation_by_member',
@@ -43,53 +43,55 @@
         row: MemberRow,
         is_draining: Callable[[], bool],
     ) -> None:
-        """Gossip on behalf of one member."""
+        """Gossip on behalf of the member in ``row``."""
         self._journal = journal
         self._endpoint = endpoint
         self._row = row
         self._is_draining = is_draining
-        self._pulling: asyncio.Task[None] | None = None
+        self._pull_task: asyncio.Task[None] | None = None
         self.draining: set[str] = set()
         self.generation_by_member: dict[str, int] = {}
         self.pulls = 0
         journal.listen(self.on_record)
 
     async def async_run(self) -> None:
-        """Gossip until cancelled."""
+        """Send heartbeats to random peers until cancelled."""
         while True:
-            self.gossip(BEAT_FANOUT)
-            await asyncio.sleep(BEAT_EVERY_S * random.uniform(*BEAT_SPREAD))
+            self.gossip(HEARTBEAT_FANOUT)
+            await asyncio.sleep(
+                HEARTBEAT_INTERVAL_S * random.uniform(*HEARTBEAT_JITTER)
+            )
 
     def on_record(self, record: Record, _: list[ChangeOutcome]) -> None:
-        """Pass news on at once."""
-        self.gossip(NEWS_FANOUT)
+        """Announce a new record at once."""
+        self.gossip(RECORD_FANOUT)
 
     def gossip(self, fanout: int) -> None:
-        """Send a beat to some random peers."""
+        """Send a heartbeat to ``fanout`` random peers."""
         peers = [
             row
             for row in self._journal.state.members.values()
             if row.member != self._row.member
             and row.state is not MemberState.OVER
         ]
-        beat = self._beat()
+        heartbeat = self._heartbeat()
         for row in random.sample(peers, min(fanout, len(peers))):
-            self._endpoint.send(beat, row.udp)
+            self._endpoint.send(heartbeat, row.udp)
 
-    def on_heartbeat(self, beat: Heartbeat) -> None:
-        """Compare generations with a peer."""
-        self.generation_by_member[beat.member] = beat.generation
-        if beat.draining:
-            self.draining.add(beat.member)
+    def on_heartbeat(self, heartbeat: Heartbeat) -> None:
+        """Pull records from a peer that is ahead; notify one that is behind."""
+        self.generation_by_member[heartbeat.member] = heartbeat.generation
+        if heartbeat.draining:
+            self.draining.add(heartbeat.member)
         else:
-            self.draining.discard(beat.member)
-        mine = self._journal.state.generation
-        if beat.generation > mine:
-            self._start_pull(beat.rpc)
-        elif beat.generation < mine:
-            self._endpoint.send(self._beat(), beat.udp)
+            self.draining.discard(heartbeat.member)
+        own_generation = self._journal.state.generation
+        if heartbeat.generation > own_generation:
+            self._start_pull(heartbeat.rpc)
+        elif heartbeat.generation < own_generation:
+            self._endpoint.send(self._heartbeat(), heartbeat.udp)
 
-    def _beat(self) -> Heartbeat:
+    def _heartbeat(self) -> Heartbeat:
         return Heartbeat(
             self._row.member,
             self._journal.state.generation,
@@ -99,11 +101,11 @@
         )
 
     def _start_pull(self, address: str) -> None:
-        if self._pulling is None or self._pulling.done():
+        if self._pull_task is None or self._pull_task.done():
             loop = asyncio.get_running_loop()
-            self._pulling = loop.create_task(self._pull(address))
+            self._pull_task = loop.create_task(self._async_pull(address))
 
-    async def _pull(self, address: str) -> None:
+    async def _async_pull(self, address: str) -> None:
         self.pulls += 1
         try:
             reply = await async_pull(address, self._journal.state.generation)
--- a/plantaingrade/membership/datagrams.py
+++ b/plantaingrade/membership/datagrams.py
@@ -11,10 +11,10 @@
 
 
 class DatagramEndpoint(TypedEndpoint):
-    """Send and receive the messages of members."""
+    """Send and receive messages between members."""
 
     __slots__ = ()
 
     def __init__(self, receive: Callable[[Any], None]) -> None:
-        """Hand each message to ``receive``."""
+        """Pass each received message to ``receive``."""
         super().__init__(receive, DATAGRAM_CODEC)
--- a/plantaingrade/membership/entity.py
+++ b/plantaingrade/membership/entity.py
@@ -1,4 +1,4 @@
-"""Messages that spread the journal."""
+"""Messages that replicate the journal."""
 
 from msgspec import Struct
 
@@ -9,7 +9,7 @@
 
 
 class Heartbeat(Message, tag='Beat'):
-    """A process tells which generation it has applied."""
+    """Announces which generation a process has applied."""
 
     member: str
     generation: int
@@ -22,13 +22,13 @@
 
 
 class PullRequest(Struct, frozen=True):
-    """Ask for the records after a generation."""
+    """Request for the records after a generation."""
 
     after: int
 
 
 class PullReply(Struct, frozen=True):
-    """Records, or the whole map if they no longer reach back."""
+    """Records, or the whole state if older records are no longer kept."""
 
     records: tuple[Record, ...]
     state: MapState | None
--- a/plantaingrade/membership/rpc.py
+++ b/plantaingrade/membership/rpc.py
@@ -21,39 +21,39 @@
 
 REQUEST_CODEC = Codec(PullRequest)
 REPLY_CODEC = Codec(PullReply)
-NO_ANSWER = (OSError, TimeoutError, GRPCError, StreamTerminatedError)
+CALL_ERRORS = (OSError, TimeoutError, GRPCError, StreamTerminatedError)
 CODEC_BY_TYPE = {PullRequest: REQUEST_CODEC, PullReply: REPLY_CODEC}
 
 
 class PullFailedError(PlantaingradeError):
-    """Report that a peer did not hand over its records."""
+    """Report that pulling records from a peer failed."""
 
-    advice = 'Another peer or the table service will be asked.'
+    advice = 'The records will be read from another peer or the table service.'
 
 
 class JsonCodec(CodecBase):
-    """Encode gRPC messages as JSON."""
+    """JSON codec for gRPC messages."""
 
     __content_subtype__ = 'json'
 
     def encode(self, message: Any, message_type: Any) -> bytes:
-        """Return the message's bytes."""
+        """Return the encoded message."""
         return CODEC_BY_TYPE[message_type].encode(message)
 
     def decode(self, data: bytes, message_type: Any) -> Any:  # noqa: WPS110
-        """Return the message held in the bytes."""
+        """Return the decoded message."""
         return CODEC_BY_TYPE[message_type].decode(data)
 
 
 class JournalService:
-    """Answer pulls from this process's copy of the journal."""
+    """gRPC service that answers pulls from the local journal."""
 
     def __init__(self, journal: JournalCoordinator) -> None:
-        """Serve one journal."""
+        """Serve records of one journal."""
         self._journal = journal
 
     def __mapping__(self) -> dict[str, Handler]:
-        """Return the methods that grpclib serves."""
+        """Return the handlers by path, as required by grpclib."""
         return {
             PULL_PATH: Handler(
                 self.async_pull,
@@ -64,7 +64,7 @@
         }
 
     async def async_pull(self, stream: Stream[PullRequest, PullReply]) -> None:
-        """Send the records after the generation asked for."""
+        """Send the records after the requested generation."""
         request = await stream.recv_message()
         after = 0 if request is None else request.after
         records = self._journal.records_after(after)
@@ -80,10 +80,10 @@
 
 
 async def async_pull(address: str, after: int) -> PullReply:
-    """Return what a peer has after a generation.
+    """Fetch the records after a generation from a peer.
 
     Raises:
-        PullFailedError: the peer did not answer in time.
+        PullFailedError: the peer did not answer in time, or not properly.
     """
     host, port = split_address(address)
     channel = Channel(host, port, codec=JsonCodec())
@@ -91,9 +91,11 @@
     try:
         async with asyncio.timeout(PULL_TIMEOUT_S):
             return await method(PullRequest(after))
-    except NO_ANSWER as error:
-        raise PullFailedError('Peer did not answer a pull.') from error
+    except CALL_ERRORS as error:
+        raise PullFailedError(
+            'The peer did not answer the pull request.'
+        ) from error
     except MalformedMessageError as error:
-        raise PullFailedError('Peer answered nonsense.') from error
+        raise PullFailedError('The peer sent a malformed reply.') from error
     finally:
         channel.close()
--- a/tests/membership/test_datagrams.py
+++ b/tests/membership/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams: garbage and strangers are counted and dropped."""
+"""Malformed datagrams and those for other members are dropped."""
 
 import pytest
 from hypothesis import given, settings
@@ -20,16 +20,16 @@
         Heartbeat('a#1', 7, '127.0.0.1:1', '127.0.0.1:2', draining=False),
     ],
 )
-def test_messages_survive_the_wire(message: object) -> None:
-    """What is sent is what arrives, with its types."""
+def test_messages_are_decoded_as_encoded(message: object) -> None:
+    """A field changed its value or type between sender and receiver."""
     raw = DATAGRAM_CODEC.encode(message)
     assert DATAGRAM_CODEC.decode(raw) == message
 
 
 @given(raw=st.binary(max_size=200))
 @settings(derandomize=True, deadline=None)
-def test_any_bytes_are_survived(raw: bytes) -> None:
-    """Somebody sends garbage to the port; the process lives on."""
+def test_random_bytes_raise_nothing(raw: bytes) -> None:
+    """Random bytes sent to the port must not stop the process."""
     received: list[object] = []
     endpoint = DatagramEndpoint(received.append)
     endpoint.datagram_received(raw, ('127.0.0.1', 1))
@@ -52,15 +52,15 @@
     ],
 )
 def test_wrong_types_are_malformed(raw: bytes) -> None:
-    """Another version, or a forger, sends fields of other types."""
+    """Another version, or an attacker, sends fields of other types."""
     with pytest.raises(MalformedMessageError):
         DATAGRAM_CODEC.decode(raw)
 
 
 def test_messages_for_another_incarnation_are_ignored() -> None:
-    """A process restarted under the address of its predecessor.
+    """A process restarts at the same address as its previous run.
 
-    Renewals and acks for the predecessor still arrive there.
+    Renewals and acknowledgements for the previous run still arrive there.
     """
     cluster = FakeCluster.from_size(4)
     member = cluster.members[0]
