--- a/plantaingrade/peers/__init__.py
+++ b/plantaingrade/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Other processes of the system: who they are, and messages to them."""
+"""Discovery of the other processes, and messages between them."""
--- a/plantaingrade/peers/announcer.py
+++ b/plantaingrade/peers/announcer.py
@@ -1,4 +1,4 @@
-"""Tell the other members what concerns all of them, by datagram."""
+"""Send notifications to all other members, by datagram."""
 
 import random
 from collections.abc import Callable, Collection, Iterable
@@ -8,15 +8,15 @@
 from plantaingrade.peers.directory import Directory
 from plantaingrade.peers.entity import (
     Datagram,
+    Forwarded,
     Hello,
     Introduced,
     Member,
-    Passed,
-    Word,
+    Notification,
 )
-from plantaingrade.peers.telling import (
+from plantaingrade.peers.recipients import (
     Recipients,
-    choose_greeted,
+    choose_hello_recipients,
     choose_recipients,
 )
 
@@ -24,9 +24,9 @@
 
 
 class Announcer:
-    """Send words to members, over relays in other availability zones."""
+    """Send datagrams to members, through relays in other large zones."""
 
-    __slots__ = ('_chance', '_directory', '_own', '_welcomed', 'endpoint')
+    __slots__ = ('_directory', '_own', '_random', '_welcomed', 'endpoint')
 
     def __init__(
         self,
@@ -34,73 +34,82 @@
         directory: Directory,
         receive: Callable[[Datagram], None],
     ) -> None:
-        """Speak for one member; ``receive`` takes what arrives."""
+        """Send on behalf of ``own``; pass what arrives to ``receive``."""
         self.endpoint = TypedEndpoint(receive, CODEC)
         self._own = own
         self._directory = directory
         self._welcomed: set[str] = set()
-        self._chance = random.Random(own.boot)
+        self._random = random.Random(own.boot)
 
-    def tell_all(self, word: Word, skipped: Collection[str] = ()) -> None:
-        """Tell every member; ``skipped`` names those told otherwise."""
+    def broadcast(
+        self, notification: Notification, skipped: Collection[str] = ()
+    ) -> None:
+        """Notify every member except those named in ``skipped``."""
         recipients = choose_recipients(
-            self._own, self._directory.members(), skipped, self._chance
+            self._own, self._directory.members(), skipped, self._random
+        )
+        self._send_to(
+            recipients,
+            notification,
+            Forwarded(notification, tuple(sorted(skipped))),
         )
-        self._send_to(recipients, word, Passed(word, tuple(sorted(skipped))))
 
-    def tell(self, message: Datagram, names: Iterable[str]) -> None:
-        """Tell some members."""
+    def send(self, message: Datagram, names: Iterable[str]) -> None:
+        """Send a message to the named members that are known."""
         found = (self._directory.find(name) for name in names)
         addresses = [member.address for member in found if member is not None]
         self.endpoint.send_all(message, addresses)
 
-    def fits(self, word: Word, skipped: Collection[str]) -> bool:
-        """Tell whether a word can be told in one datagram."""
-        return self.endpoint.fits(Passed(word, tuple(skipped)))
+    def fits(
+        self, notification: Notification, skipped: Collection[str]
+    ) -> bool:
+        """Return whether a notification fits into one datagram."""
+        return self.endpoint.fits(Forwarded(notification, tuple(skipped)))
 
-    def pass_on(self, passed: Passed) -> None:
-        """Tell the neighbours what another zone's member has told this one."""
+    def forward(self, forwarded: Forwarded) -> None:
+        """Send a notification on to the other members of the own zone."""
         neighbours = [
             member.address
             for member in self._directory.members()
             if member.zone == self._own.zone
             and member.name != self._own.name
-            and member.name not in passed.skipped
+            and member.name not in forwarded.skipped
         ]
-        self.endpoint.send_all(passed.word, neighbours)
+        self.endpoint.send_all(forwarded.notification, neighbours)
 
-    def greet(self) -> None:
-        """Greet those that have not welcomed this member yet."""
-        recipients = choose_greeted(
+    def send_hello(self) -> None:
+        """Send a hello to members that have not sent a welcome yet."""
+        recipients = choose_hello_recipients(
             self._own,
             self._directory.members(),
             self._welcomed,
-            self._chance,
+            self._random,
         )
-        introduction = Passed(Introduced(self._own), ())
+        introduction = Forwarded(Introduced(self._own), ())
         self._send_to(recipients, Hello(self._own), introduction)
 
     def introduce(self) -> None:
-        """Tell every member of this one, once all have had time to join.
+        """Introduce this member to all, once they have had time to join.
 
-        A relay may pass a greeting on before it knows all its neighbours.
+        A relay may forward a hello before it knows all its neighbours, so
+        some members may have missed it.
         """
-        self.tell_all(Introduced(self._own))
+        self.broadcast(Introduced(self._own))
 
     def on_welcome(self, name: str) -> None:
-        """Note that a member knows this one."""
+        """Record that a member knows this one."""
         self._welcomed.add(name)
 
-    def on_met(self, name: str) -> None:
-        """Note a run of a member that does not know this one yet."""
+    def on_discovered(self, name: str) -> None:
+        """Record that a new or restarted member does not know this one."""
         self._welcomed.discard(name)
 
     def _send_to(
-        self, recipients: Recipients, direct: Datagram, passed: Passed
+        self, recipients: Recipients, direct: Datagram, forwarded: Forwarded
     ) -> None:
         self.endpoint.send_all(
             direct, [member.address for member in recipients.direct]
         )
         self.endpoint.send_all(
-            passed, [member.address for member in recipients.relays]
+            forwarded, [member.address for member in recipients.relays]
         )
--- a/plantaingrade/peers/calls.py
+++ b/plantaingrade/peers/calls.py
@@ -1,4 +1,4 @@
-"""Calls to other processes that have an answer."""
+"""HTTP calls to other processes."""
 
 import asyncio
 import random
@@ -16,11 +16,11 @@
 REPLY_CODEC = Codec(OfferReply)
 PATH_CONFIG = '/-/config'
 PATH_OFFER = '/-/offer'
-# Members asked for a configuration before it is tried again later.
-MAX_ASKED = 3
-# Answers come from memory, within some milliseconds.
+# Members asked in one attempt to fetch the configuration.
+MAX_CONFIG_PEERS = 3
+# Peers answer from memory, within milliseconds.
 CALL_TIMEOUT_S = 0.5
-# A relayed call may wait for the store as long as a direct one.
+# A relayed store call may take as long as a direct one.
 RELAY_TIMEOUT_S = 1.2
 STATUS_OK = 200
 
@@ -38,7 +38,7 @@
         clock: Clock,
         log: EventLog,
     ) -> None:
-        """Use a pool of connections to other processes."""
+        """Make calls over a pool of connections to peers."""
         self._own = own
         self._directory = directory
         self._pool = pool
@@ -46,7 +46,7 @@
         self._log = log
 
     async def async_offer(self, target: str, offer: Offer) -> OfferReply | None:
-        """Ask a member to take over work."""
+        """Ask a member to take over work; return None without an answer."""
         member = self._directory.find(target)
         if member is None:
             return None
@@ -63,14 +63,15 @@
     async def async_relay(
         self, member: Member, path: str, body: bytes
     ) -> bytes | None:
-        """Have a member call the store; return its answer, if it came."""
+        """Call the store through a member; return None without an answer."""
         call = Call('POST', member.address, path, (), body)
         return await self.async_call(call, RELAY_TIMEOUT_S)
 
     def relays(self) -> list[Member]:
-        """Return members that may call the store, of other zones first.
+        """Return members to relay store calls, those in other zones first.
 
-        What cuts an instance off often cuts its neighbours off too.
+        A fault that cuts an instance off from the store often affects other
+        instances in its zone too.
         """
         now = self._clock.now()
         members = [
@@ -84,7 +85,7 @@
         return members
 
     async def async_ask_config(self) -> bytes | None:
-        """Return the configuration of another process, a near one first."""
+        """Fetch the configuration from a peer, trying the own zone first."""
         members = [
             member
             for member in self._directory.members()
@@ -92,7 +93,7 @@
         ]
         random.shuffle(members)
         members.sort(key=lambda member: member.zone != self._own.zone)
-        for member in members[:MAX_ASKED]:
+        for member in members[:MAX_CONFIG_PEERS]:
             body = await self.async_call(
                 Call('GET', member.address, PATH_CONFIG)
             )
@@ -107,7 +108,7 @@
         body: bytes,
         timeout_s: float = CALL_TIMEOUT_S,
     ) -> bytes | None:
-        """Send a message; return the answer's body, if one came."""
+        """Post a message; return the body of a 200 response, else None."""
         return await self.async_call(
             Call('POST', member.address, path, (), body), timeout_s
         )
@@ -115,14 +116,14 @@
     async def async_call(
         self, call: Call, timeout_s: float = CALL_TIMEOUT_S
     ) -> bytes | None:
-        """Return the body of an answer, if one came and was not a refusal."""
+        """Return the body of a 200 response, else None."""
         reply = await self.async_fetch(call, timeout_s)
         return None if reply is None else reply.body
 
     async def async_fetch(
         self, call: Call, timeout_s: float = CALL_TIMEOUT_S
     ) -> Reply | None:
-        """Return an answer, if one came and was not a refusal."""
+        """Return a response with status 200, else None."""
         try:
             async with asyncio.timeout(timeout_s):
                 reply = await fetch(self._pool, call)
--- a/plantaingrade/peers/coordinator.py
+++ b/plantaingrade/peers/coordinator.py
@@ -1,4 +1,4 @@
-"""Find the other processes, and keep the key maps of all services fresh."""
+"""Discover the other processes and keep all key maps up to date."""
 
 import asyncio
 from collections.abc import Callable, Collection, Iterable
@@ -17,62 +17,64 @@
 from plantaingrade.operators.wishes import Wish
 from plantaingrade.peers.announcer import Announcer
 from plantaingrade.peers.calls import PeerCalls
+from plantaingrade.peers.capacity_queries import CapacityQueries
 from plantaingrade.peers.directory import Directory
 from plantaingrade.peers.entity import (
+    CapacityRequest,
+    CapacityResponse,
     Datagram,
+    Forwarded,
     Goodbye,
     Handover,
     Hello,
     Introduced,
-    LoadTold,
+    LoadReport,
     MapChanged,
     Member,
-    Passed,
-    RoomAsked,
-    RoomTold,
+    Notification,
     ServerCrashed,
     Token,
     Welcome,
-    Word,
 )
 from plantaingrade.peers.map_follower import MapFollower
 from plantaingrade.peers.own_row import OwnRow
-from plantaingrade.peers.rooms import RoomInquiries
 from plantaingrade.peers.service_rows import ServiceRows
 from plantaingrade.peers.witnesses import PeerWitnesses
 from plantaingrade.store.interface import Store
 
 HANDOVER_CODEC = Codec(Handover)
-PATH_HANDED = '/-/handed'
+PATH_HANDOVER = '/-/handed'
 HELLO_PAUSES_S = (0.2, 0.4, 0.8, 1.6, 3.2)
 JOIN_RETRY_S = 0.25
-# A lost datagram about a map is made up for by a redirect; what even that
-# does not repair is repaired by this.
+# After a lost map datagram, a redirect corrects the map. What that misses is
+# corrected by this periodic read of the store.
 REFRESH_S = 20.0
-# The same for each member, where that is longer: an owner that is not known is
-# looked up, so that this only mends what nobody asks for.
+# Refresh interval per known member, where this exceeds REFRESH_S in total.
+# Unknown owners are looked up on demand, so the refresh only corrects entries
+# that no request needs.
 REFRESH_S_PER_MEMBER = 0.3
-# Pause after the members were read for one that is not known.
+# Minimum time between two reads of the store for unknown members.
 LOOK_UP_PAUSE_S = 1.0
 
 
 class PeerHooks(Struct, frozen=True):
-    """What the coordinator asks and tells.
+    """Callbacks of the coordinator.
 
-    ``services`` names all that are configured; ``on_wish`` is told what
-    operators want of the own server, and ``on_crash`` what ran at another
-    member's server when that crashed. ``room_of`` tells how soon the own
-    server could run a request of a kind and priority, if it takes any.
+    ``services`` returns the names of all configured services. ``on_wish``
+    receives the operators' request for the own server, and ``on_crash`` the
+    digests of the requests that another member's server was running when it
+    crashed. ``free_capacity_of`` returns how soon the own server could run a
+    request of a kind and priority, or None if it accepts no requests.
     """
 
     services: Callable[[], Iterable[str]]
     on_wish: Callable[[Wish], None]
     on_crash: Callable[[tuple[str, ...]], None]
-    room_of: Callable[[str, int], Room | None]
+    free_capacity_of: Callable[[str, int], Room | None]
 
 
 class PeerCoordinator:
-    """Join the other processes on behalf of one member."""
+    """Represent one member among the other processes."""
 
     __slots__ = (
         '_announcer',
@@ -82,16 +84,16 @@
         '_hooks',
         '_loads',
         '_log',
-        '_looked_up',
-        '_looking',
+        '_looked_up_names',
+        '_lookup_task',
         '_maps',
         '_own_row',
         '_rows',
         '_store',
+        'capacity_queries',
         'has_joined',
         'map_follower',
         'own',
-        'capacity_queries',
         'witnesses',
     )
 
@@ -107,7 +109,7 @@
         loads: LoadBook,
         hooks: PeerHooks,
     ) -> None:
-        """Know nobody yet."""
+        """Start without any known members."""
         self._hooks = hooks
         self._loads = loads
         self.own = own
@@ -121,23 +123,29 @@
         self._announcer = Announcer(own, directory, self._on_datagram)
         self.witnesses = PeerWitnesses(own, directory, calls, clock)
         self.map_follower = MapFollower(directory, maps, calls, log)
-        self.capacity_queries = RoomInquiries(
-            own, self._announcer.endpoint, clock, hooks.room_of
+        self.capacity_queries = CapacityQueries(
+            own, self._announcer.endpoint, clock, hooks.free_capacity_of
         )
         self._rows = ServiceRows(
-            own, store, maps, hooks.services, self._meet, hooks.on_wish, log
+            own,
+            store,
+            maps,
+            hooks.services,
+            self._add_member,
+            hooks.on_wish,
+            log,
         )
         self._own_row: OwnRow | None = None
-        self._looked_up: set[str] = set()
-        self._looking: asyncio.Task[None] | None = None
+        self._looked_up_names: set[str] = set()
+        self._lookup_task: asyncio.Task[None] | None = None
 
     @property
     def endpoint(self) -> TypedEndpoint:
-        """Return the socket for datagrams."""
+        """Return the datagram endpoint of this member."""
         return self._announcer.endpoint
 
     async def async_join(self, *, is_keyed: bool) -> None:
-        """Make this member known and learn of the others."""
+        """Register this member and read the others, retrying until done."""
         self._directory.add(self.own)
         if not is_keyed:
             self._own_row = OwnRow(self.own, self._store, self._log)
@@ -149,54 +157,56 @@
         self._log.write('members-known', count=len(self._directory.members()))
 
     async def async_run(self) -> None:
-        """Greet the others, and repair what was missed, until cancelled."""
+        """Send hellos, then refresh from the store until cancelled."""
         for pause_s in HELLO_PAUSES_S:
-            self._announcer.greet()
+            self._announcer.send_hello()
             await asyncio.sleep(pause_s)
         self._announcer.introduce()
         while True:
             await asyncio.sleep(self._refresh_pause_s())
-            self._looked_up.clear()
+            self._looked_up_names.clear()
             await self.async_refresh()
-            self._announcer.greet()
+            self._announcer.send_hello()
 
     def _refresh_pause_s(self) -> float:
         count = len(self._directory.members())
         return max(REFRESH_S, REFRESH_S_PER_MEMBER * count)
 
     async def async_refresh(self) -> bool:
-        """Read the members and maps of every service from the store."""
+        """Read members and maps of all services; return whether it worked."""
         return await self._rows.async_read()
 
     async def async_begin_epoch(self) -> None:
-        """Make a member without keys known in a new epoch of the store."""
+        """Register a member without keys in a new epoch of the store."""
         while self._own_row is not None and not self._own_row.is_written:
             if not await self._own_row.async_write():
                 await asyncio.sleep(JOIN_RETRY_S)
 
     def look_up(self, name: str) -> None:
-        """Read the members for one that owns keys and that nobody introduced.
+        """Read the members from the store to find an unknown key owner.
 
-        The datagrams that introduce a member may be lost. A name is looked up
-        once between two repairs: a member may have left while the map still
-        names it.
+        The datagrams that introduce a member may be lost. Each name is looked
+        up at most once between two refreshes, as the member may have left while
+        the map still names it.
         """
-        is_looking = self._looking is not None and not self._looking.done()
-        if is_looking or name in self._looked_up:
+        is_running = (
+            self._lookup_task is not None and not self._lookup_task.done()
+        )
+        if is_running or name in self._looked_up_names:
             return
-        self._looked_up.add(name)
+        self._looked_up_names.add(name)
         self._log.write('member-looked-up', member=name)
         loop = asyncio.get_running_loop()
-        self._looking = loop.create_task(self._async_look_up())
+        self._lookup_task = loop.create_task(self._async_look_up())
 
     async def _async_look_up(self) -> None:
         await self.async_refresh()
-        # Names that are missing together cost one call.
+        # Names that are requested together share one read.
         await asyncio.sleep(LOOK_UP_PAUSE_S)
 
     def say_goodbye(self) -> None:
-        """Tell every member that this one leaves."""
-        self._announcer.tell_all(Goodbye(self.own.name, self.own.boot))
+        """Notify every member that this one leaves."""
+        self._announcer.broadcast(Goodbye(self.own.name, self.own.boot))
 
     def publish_change(
         self,
@@ -205,33 +215,33 @@
         after: KeyMap,
         skipped: Collection[str] = (),
     ) -> None:
-        """Tell every member how a map changed; some may miss it.
+        """Send a change to every member by datagram, which may be lost.
 
-        ``skipped`` names those that are told otherwise.
+        ``skipped`` names members that are notified in another way.
         """
         message = MapChanged.from_maps(service, self.own.name, before, after)
         if not self._announcer.fits(message, skipped):
             message = replace(message, owners=(), ranges=())
-        self._announcer.tell_all(message, skipped)
+        self._announcer.broadcast(message, skipped)
 
     async def async_deregister(self) -> None:
-        """Remove the row of a member that holds no keys."""
+        """Remove the own row of a member that holds no keys."""
         own_row = self._own_row
         self._own_row = None
         if own_row is not None:
             await own_row.async_remove()
 
-    def _meet(self, member: Member) -> None:
+    def _add_member(self, member: Member) -> None:
         if member.name == self.own.name:
             return
-        if not member.is_addressed():
+        if not member.has_valid_address():
             self._log.write('member-unusable', member=member.name)
             return
         if self._directory.add(member):
-            # What a run before this one told of its load, such as that it
-            # leaves, is not of this one.
+            # A load reported by an earlier run of the member, for instance
+            # that it is leaving, does not apply to this one.
             self._loads.forget(member.name)
-            self._announcer.on_met(member.name)
+            self._announcer.on_discovered(member.name)
             self._log.write(
                 'member-met',
                 member=member.name,
@@ -246,10 +256,10 @@
         after: KeyMap,
         tokens: tuple[Token, ...],
     ) -> None:
-        """Tell the member that got keys; it grants them at once.
+        """Notify the new owner of keys, which grants them at once.
 
-        If this is lost the member learns of its keys from a datagram, or from
-        the first request, and its server starts cold.
+        If the call fails, the member learns of its keys from a datagram or
+        from the first request, and its server starts cold.
         """
         member = self._directory.find(target)
         if member is None:
@@ -258,82 +268,85 @@
             self.own.service, self.own.name, before, after
         )
         body = HANDOVER_CODEC.encode(Handover(change, tokens))
-        reply = await self._calls.async_post(member, PATH_HANDED, body)
+        reply = await self._calls.async_post(member, PATH_HANDOVER, body)
         if reply is None:
-            self._announcer.tell(change, (target,))
+            self._announcer.send(change, (target,))
 
     def tell_load(self, load: Load, names: Iterable[str]) -> None:
-        """Tell some members of this member's load."""
-        message = LoadTold(
+        """Send this member's load to the named members."""
+        message = LoadReport(
             self.own.name,
             round(load.share, 2),
             round(load.work_s, 4),
             load.slots,
         )
-        self._announcer.tell(message, names)
+        self._announcer.send(message, names)
 
     def announce_crash(self, digests: tuple[str, ...]) -> None:
-        """Tell every member what ran at the own server when it crashed."""
-        self._announcer.tell_all(ServerCrashed(digests))
+        """Notify every member what the own server ran when it crashed."""
+        self._announcer.broadcast(ServerCrashed(digests))
 
     def receive_handover(self, body: bytes) -> Handover | None:
-        """Take the word that keys have passed to this member.
+        """Apply the notification that this member received keys.
 
-        It goes to an address, which may have passed to an instance of another
-        service; tokens for that one's keys are of no use here.
+        The address may have been reassigned from an instance of another
+        service, whose tokens are not valid here and are dropped. Returns None
+        if the body is malformed.
         """
         try:
-            handed = HANDOVER_CODEC.decode(body)
+            handover = HANDOVER_CODEC.decode(body)
         except MalformedMessageError as error:
             self._log.write('handed-unreadable', why=str(error))
             return None
-        self.map_follower.on_changed(handed.change)
-        if handed.change.service != self.own.service:
-            return Handover(handed.change, ())
-        return handed
+        self.map_follower.on_changed(handover.change)
+        if handover.change.service != self.own.service:
+            return Handover(handover.change, ())
+        return handover
 
     def _on_datagram(self, message: Datagram) -> None:
         match message:
-            case Hello(member) if member.is_addressed():
+            case Hello(member) if member.has_valid_address():
                 self._welcome(member)
             case Welcome(member):
                 self._on_welcome(member)
             case Introduced(member):
-                self._meet(member)
+                self._add_member(member)
             case Goodbye():
                 self._on_goodbye(message)
             case MapChanged():
                 self.map_follower.on_changed(message)
             case ServerCrashed(digests):
                 self._hooks.on_crash(digests)
-            case Passed(word):
-                self._on_passed(message, word)
-            case LoadTold():
+            case Forwarded(notification):
+                self._on_forwarded(message, notification)
+            case LoadReport():
                 self._on_load(message)
-            case RoomAsked() | RoomTold():
+            case CapacityRequest() | CapacityResponse():
                 self.capacity_queries.on_datagram(message)
 
-    def _on_goodbye(self, left: Goodbye) -> None:
-        self._directory.remove(left.name, left.boot)
-        self._log.write('member-left', member=left.name, boot=left.boot)
+    def _on_goodbye(self, goodbye: Goodbye) -> None:
+        self._directory.remove(goodbye.name, goodbye.boot)
+        self._log.write('member-left', member=goodbye.name, boot=goodbye.boot)
 
     def _on_welcome(self, member: Member) -> None:
-        self._meet(member)
+        self._add_member(member)
         self._announcer.on_welcome(member.name)
 
-    def _on_load(self, told: LoadTold) -> None:
-        load = Load(told.share, told.work_s, told.slots)
-        self._loads.note(told.name, load, self._clock.now())
+    def _on_load(self, report: LoadReport) -> None:
+        load = Load(report.share, report.work_s, report.slots)
+        self._loads.note(report.name, load, self._clock.now())
 
-    def _on_passed(self, passed: Passed, word: Word) -> None:
-        """Take a word that is meant for the whole zone."""
-        self._announcer.pass_on(passed)
-        match word:
-            case Introduced(member) if member.is_addressed():
+    def _on_forwarded(
+        self, forwarded: Forwarded, notification: Notification
+    ) -> None:
+        """Handle a notification and forward it within the own zone."""
+        self._announcer.forward(forwarded)
+        match notification:
+            case Introduced(member) if member.has_valid_address():
                 self._welcome(member)
             case _:
-                self._on_datagram(word)
+                self._on_datagram(notification)
 
     def _welcome(self, member: Member) -> None:
-        self._meet(member)
+        self._add_member(member)
         self._announcer.endpoint.send(Welcome(self.own), member.address)
--- a/plantaingrade/peers/directory.py
+++ b/plantaingrade/peers/directory.py
@@ -1,20 +1,21 @@
-"""The members that this process knows of, and which of them fail."""
+"""Members known to this process, and which of them are suspect."""
 
 from plantaingrade.peers.entity import Member
 
-# A member to which no connection could be made is passed over for this long,
-# then tried by one request. A process restarts within about a second.
+# A member is skipped for this long after a failed connection, then probed by
+# one request. A process restarts within about a second.
 SUSPECT_S = 0.5
-# Each further failure doubles that, up to this: rows of instances that are gone
-# for good may stay for long, and each try holds a request up for 0.2 s.
+# Upper limit of that pause, which doubles with each further failure. Rows of
+# removed instances may remain for long, and each probe delays a request by
+# 0.2 s.
 MAX_SUSPECT_S = 2.0
-# Failures in a row after which a member counts as unreachable: a single one is
-# also what a lost packet leads to.
+# Consecutive failures after which a member counts as unreachable. A lost packet
+# alone can cause a single failure.
 UNREACHABLE_AFTER = 2
 
 
 class Directory:
-    """Members by name, with suspicions from failed connections."""
+    """Members by name, with suspicion state from failed connections."""
 
     __slots__ = (
         '_failures_by_name',
@@ -24,14 +25,14 @@
     )
 
     def __init__(self) -> None:
-        """Know nobody."""
+        """Start without any members."""
         self._member_by_name: dict[str, Member] = {}
         self._names_by_service: dict[str, set[str]] = {}
         self._suspect_until: dict[str, float] = {}
         self._failures_by_name: dict[str, int] = {}
 
     def add(self, member: Member) -> bool:
-        """Take a member; tell whether it is new or has restarted."""
+        """Add a member; return whether it is new, changed or restarted."""
         known = self._member_by_name.get(member.name)
         if known == member:
             return False
@@ -44,7 +45,7 @@
         return True
 
     def remove(self, name: str, boot: str) -> None:
-        """Forget a run of a member."""
+        """Remove a member, unless it has restarted since."""
         known = self._member_by_name.get(name)
         if known is None or known.boot != boot:
             return
@@ -53,24 +54,24 @@
         self.clear_suspicion(name)
 
     def find(self, name: str) -> Member | None:
-        """Return a member."""
+        """Return the member of this name, or None."""
         return self._member_by_name.get(name)
 
     def members(self) -> list[Member]:
-        """Return every member."""
+        """Return all members."""
         return list(self._member_by_name.values())
 
     def serving(self, service: str) -> list[Member]:
-        """Return the members beside servers of a service."""
+        """Return the members whose server belongs to a service."""
         names = self._names_by_service.get(service, ())
         return [self._member_by_name[name] for name in names]
 
     def suspect(self, name: str, now: float) -> None:
-        """Pass a member over for a while."""
+        """Skip a member for ``SUSPECT_S``."""
         self._suspect_until[name] = now + SUSPECT_S
 
     def on_unreachable(self, name: str, now: float) -> bool:
-        """Note that a member was not reached; tell whether that is news."""
+        """Count a failure; return whether the member became unreachable."""
         failures = self._failures_by_name.get(name, 0) + 1
         self._failures_by_name[name] = failures
         doubled = max(0, failures - UNREACHABLE_AFTER)
@@ -79,17 +80,17 @@
         return failures == UNREACHABLE_AFTER
 
     def clear_suspicion(self, name: str) -> bool:
-        """Note that a member answered; tell whether that is news."""
+        """Reset the failures; return whether the member was unreachable."""
         self._suspect_until.pop(name, None)
         failures = self._failures_by_name.pop(name, 0)
         return failures >= UNREACHABLE_AFTER
 
     def may_ask(self, name: str, now: float) -> bool:
-        """Tell whether a request may be sent to a member.
+        """Return whether a request may be sent to a member.
 
-        While a member is unreachable one request tries it now and then. The
-        others are refused at once; each would wait for a connection until its
-        time is up.
+        An unreachable member is probed by one request after each pause. Other
+        requests are refused at once, as each would wait for a connection until
+        it times out.
         """
         if self._failures_by_name.get(name, 0) < UNREACHABLE_AFTER:
             return True
@@ -99,5 +100,5 @@
         return True
 
     def is_suspect(self, name: str, now: float) -> bool:
-        """Tell whether a member is passed over now."""
+        """Return whether a member is skipped at this time."""
         return self._suspect_until.get(name, 0.0) > now
--- a/plantaingrade/peers/entity.py
+++ b/plantaingrade/peers/entity.py
@@ -1,8 +1,8 @@
-"""Typed members and the datagrams between them."""
+"""Members, and the typed messages between them."""
 
 import ipaddress
 
-from msgspec import Struct
+from msgspec import Struct, field
 
 from plantaingrade.codec import Message
 from plantaingrade.keyspace.directory import differences
@@ -14,15 +14,16 @@
 )
 
 MAX_PORT = 65_535
-# One more than any port has, so that a longer number is out of bounds.
+# One digit more than MAX_PORT has, so that longer numbers are out of bounds.
 MAX_PORT_DIGITS = 6
 
 
 class Member(Struct, frozen=True):
-    """One process as others know it.
+    """One process as known to its peers.
 
-    ``name`` is the IP address of its instance; ``boot`` names one run of the
-    process; ``address`` is where it takes requests of other processes.
+    ``name`` holds the service and the IP address of the instance; ``boot``
+    identifies one run of the process; ``address`` is where it accepts requests
+    of other processes.
     """
 
     name: str
@@ -31,15 +32,15 @@
     address: str
     boot: str
 
-    def is_addressed(self) -> bool:
-        """Tell whether the address is one that can be sent to."""
-        return is_address(self.address)
+    def has_valid_address(self) -> bool:
+        """Return whether the address can be sent to."""
+        return is_valid_address(self.address)
 
 
-def is_address(text: str) -> bool:
-    """Tell whether a text is an address that can be sent to.
+def is_valid_address(text: str) -> bool:
+    """Return whether a text is an IP address and port.
 
-    Another writer may put anything in its place.
+    Another program may write any text to a row or a datagram.
     """
     host, _, port = text.rpartition(':')
     try:
@@ -51,30 +52,30 @@
 
 
 class Hello(Message):
-    """A member tells that it runs; it is answered by a welcome."""
+    """Announces that a member runs; answered by a welcome."""
 
     member: Member
 
 
 class Welcome(Message):
-    """Answer to a hello."""
+    """Answer to a hello, with the answering member."""
 
     member: Member
 
 
 class Goodbye(Message):
-    """A member leaves."""
+    """Announces that a run of a member leaves."""
 
     name: str
     boot: str
 
 
 class MapChanged(Message):
-    """The map of a service went from one version to the next.
+    """Announces a new version of the key map of a service.
 
-    ``ranges`` holds first key, last key, place among ``owners`` and fence of
-    each assignment that differs, some 20 bytes each. A change that no
-    datagram can hold comes without them, and is asked for at ``source``.
+    ``ranges`` holds first key, last key, index in ``owners`` and fence of each
+    assignment that differs, about 20 bytes each. A change that is too large for
+    a datagram comes without them, and the map is fetched from ``source``.
     """
 
     service: str
@@ -89,7 +90,7 @@
     def from_maps(
         cls, service: str, source: str, before: KeyMap, after: KeyMap
     ) -> 'MapChanged':
-        """Return what differs between two maps."""
+        """Build the message from the difference between two maps."""
         changes = differences(before, after)
         owners = tuple(sorted({each.owner for each in changes}))
         ranges = tuple(
@@ -115,21 +116,21 @@
         """Return the assignments that differ.
 
         Raises:
-            ValueError: a range is none, or its owner is not listed.
+            ValueError: a range is invalid, or its owner is not listed.
         """
         return tuple(self._assignment(each) for each in self.ranges)
 
     def _assignment(self, numbers: tuple[int, int, int, int]) -> Assignment:
-        first, last, place, fence = numbers
+        first, last, index, fence = numbers
         is_range = 0 <= first <= last and last < KEY_COUNT
-        is_listed = 0 <= place < len(self.owners)
+        is_listed = 0 <= index < len(self.owners)
         if not is_range or not is_listed or not 0 <= fence <= self.fence:
-            raise ValueError(f'no assignment: {numbers}')
-        return Assignment(KeyRange(first, last), self.owners[place], fence)
+            raise ValueError(f'invalid assignment: {numbers}')
+        return Assignment(KeyRange(first, last), self.owners[index], fence)
 
 
-class LoadTold(Message):
-    """A member tells its load unasked, because it has room."""
+class LoadReport(Message, tag='LoadTold'):
+    """Load that a member with free capacity reports on its own."""
 
     name: str
     share: float
@@ -137,10 +138,10 @@
     slots: int
 
 
-class RoomAsked(Message):
-    """A member asks how soon the receiver's server could run a request.
+class CapacityRequest(Message, tag='RoomAsked'):
+    """Asks how soon the receiver's server could run a request.
 
-    ``address`` is where the answer goes, ``number`` names the question.
+    The response goes to ``address`` and repeats ``number``.
     """
 
     number: int
@@ -150,11 +151,11 @@
     priority: int
 
 
-class RoomTold(Message):
-    """Answer to the question: times in milliseconds.
+class CapacityResponse(Message, tag='RoomTold'):
+    """Answer to a capacity request, with times in milliseconds.
 
-    There is no ``wait_ms`` where the server takes no work. ``failed`` is the
-    part of its requests that failed lately, in hundredths.
+    ``wait_ms`` is None if the server accepts no work. ``failed`` is the share
+    of its recent requests that failed, in percent.
     """
 
     number: int
@@ -165,28 +166,28 @@
 
 
 class Introduced(Message):
-    """A member runs, as it has told another one."""
+    """Announces a member to those that its hello has not reached."""
 
     member: Member
 
 
 class ServerCrashed(Message):
-    """A member's server crashed; ``digests`` names what ran there."""
+    """Digests of the requests that a server was running when it crashed."""
 
     digests: tuple[str, ...]
 
 
-# What concerns all members.
-Word = Introduced | Goodbye | MapChanged | ServerCrashed
+# Messages that are sent to all members.
+Notification = Introduced | Goodbye | MapChanged | ServerCrashed
 
 
-class Passed(Message):
-    """A word for all of the receiver's zone, which it passes on.
+class Forwarded(Message, tag='Passed'):
+    """A notification that the receiver forwards within its zone.
 
-    ``skipped`` names members that are told otherwise.
+    ``skipped`` names members that are notified in another way.
     """
 
-    word: Word
+    notification: Notification = field(name='word')
     skipped: tuple[str, ...]
 
 
@@ -196,33 +197,33 @@
     | Introduced
     | Goodbye
     | MapChanged
-    | LoadTold
-    | Passed
+    | LoadReport
+    | Forwarded
     | ServerCrashed
-    | RoomAsked
-    | RoomTold
+    | CapacityRequest
+    | CapacityResponse
 )
 
 
 class Token(Struct, frozen=True):
-    """What a server gave when it released a range; see ``Grant``."""
+    """Handover token that a server returned when it released a range."""
 
     keys: KeyRange
     token: str
 
 
 class Handover(Struct, frozen=True):
-    """Keys have passed to the receiver, by this change of the map."""
+    """Notifies the receiver that this map change assigns keys to it."""
 
     change: MapChanged
     tokens: tuple[Token, ...]
 
 
 class Offer(Struct, frozen=True):
-    """A member asks whether another takes over work.
+    """Asks whether another member takes over work.
 
-    ``share`` is the sender's load; ``work`` the work to be moved, in seconds
-    of a slot in a second, at a server where a request takes ``work_s``.
+    ``share`` is the sender's load. ``work`` is the work to be moved, in slot
+    seconds per second, at a server where a request takes ``work_s``.
     """
 
     name: str
@@ -233,7 +234,7 @@
 
 
 class OfferReply(Struct, frozen=True):
-    """Whether an offer is taken, and the load of the member asked."""
+    """Whether an offer is accepted, and the load of the answering member."""
 
     is_accepted: bool
     share: float
--- a/plantaingrade/peers/map_follower.py
+++ b/plantaingrade/peers/map_follower.py
@@ -1,4 +1,4 @@
-"""Keep the key maps of all services as new as others speak of them."""
+"""Keep the key maps of all services at the newest announced version."""
 
 import asyncio
 
@@ -12,21 +12,29 @@
 from plantaingrade.keyspace.directory import KeyMaps
 from plantaingrade.peers.calls import PeerCalls
 from plantaingrade.peers.directory import Directory
-from plantaingrade.peers.early import EarlyChanges
 from plantaingrade.peers.entity import MapChanged, Member
+from plantaingrade.peers.out_of_order import OutOfOrderChanges
 
 PATH_MAP = '/-/map/'
-# A change that is told of by another sender arrives within milliseconds; a busy
-# process reads it some wake-ups later. What is missing then is asked for.
+# Wait before a missing change is fetched. Changes of other senders arrive
+# within milliseconds, but a busy process reads them a few event loop turns
+# later.
 PULL_WAIT_S = 0.05
 HEADER_VERSION = b'v'
 MAX_VERSION_DIGITS = 18
 
 
 class MapFollower:
-    """Apply the changes that others tell, and ask for what is missing."""
+    """Apply changes announced by peers, and fetch maps when one is missing."""
 
-    __slots__ = ('_calls', '_directory', '_early', '_log', '_maps', '_pulls')
+    __slots__ = (
+        '_calls',
+        '_directory',
+        '_log',
+        '_maps',
+        '_out_of_order',
+        '_pull_by_service',
+    )
 
     def __init__(
         self,
@@ -35,49 +43,51 @@
         calls: PeerCalls,
         log: EventLog,
     ) -> None:
-        """Follow nothing yet."""
+        """Start without buffered changes or pending fetches."""
         self._directory = directory
         self._maps = maps
         self._calls = calls
         self._log = log
-        self._early = EarlyChanges()
-        self._pulls: dict[str, asyncio.Task[None]] = {}
+        self._out_of_order = OutOfOrderChanges()
+        self._pull_by_service: dict[str, asyncio.Task[None]] = {}
 
     def pull(self, service: str, source: Member, wanted: int = 0) -> None:
-        """Ask a member for a whole map, once at a time.
+        """Fetch a whole map from a member, with one fetch at a time.
 
-        Nothing is asked if the ``wanted`` version, or any newer one if none is
-        named, arrives by datagram meanwhile.
+        The fetch is skipped if the ``wanted`` version, or any newer one where
+        ``wanted`` is 0, arrives by datagram first.
         """
-        if service in self._pulls:
+        if service in self._pull_by_service:
             return
         loop = asyncio.get_running_loop()
         task = loop.create_task(self._async_pull(service, source, wanted))
-        self._pulls[service] = task
-        task.add_done_callback(lambda _: self._pulls.pop(service, None))
+        self._pull_by_service[service] = task
+        task.add_done_callback(
+            lambda _: self._pull_by_service.pop(service, None)
+        )
 
     def encode_known(self, service: str) -> tuple[int, bytes]:
-        """Return version and body of the map of a service."""
+        """Return the version and the encoded map of a service."""
         key_map = self._maps.find_stored(service)
         return key_map.version, encode_map(key_map)
 
     def on_changed(self, message: MapChanged) -> None:
-        """Take a change, or ask for what it was made from."""
+        """Apply a change, or fetch the map if its base version is missing."""
         service = message.service
         if self._apply(message):
-            self._apply_early(service)
+            self._apply_out_of_order(service)
             return
         if message.ranges:
-            self._early.keep(message)
+            self._out_of_order.add(message)
         source = self._directory.find(message.source)
         if source is not None:
             self.pull(service, source, message.version)
 
     def _apply(self, message: MapChanged) -> bool:
-        """Take a change; tell whether the map is now as new."""
+        """Apply a change; return whether the map is at its version or newer."""
         known = self._maps.find(message.service)
         if known.version >= message.version:
-            # Over two relays most changes come twice.
+            # Two relays forward each change, so most arrive twice.
             return True
         if not message.ranges:
             return False
@@ -94,20 +104,22 @@
             changes,
         )
 
-    def _apply_early(self, service: str) -> int:
-        """Apply what was kept for the map as it is now; return its version."""
+    def _apply_out_of_order(self, service: str) -> int:
+        """Apply buffered changes that now fit; return the map version."""
         version = self._maps.find(service).version
-        change = self._early.take(service, version)
+        change = self._out_of_order.pop_next(service, version)
         while change is not None and self._apply(change):
             version = self._maps.find(service).version
-            change = self._early.take(service, version)
+            change = self._out_of_order.pop_next(service, version)
         return version
 
     async def _async_pull(
         self, service: str, source: Member, wanted: int
     ) -> None:
         known = self._maps.find(service).version
-        if known and await self._async_arrives(service, wanted or known + 1):
+        if known and await self._async_wait_for_change(
+            service, wanted or known + 1
+        ):
             return
         call = Call('GET', source.address, f'{PATH_MAP}{service}')
         reply = await self._calls.async_fetch(call)
@@ -123,13 +135,13 @@
             return
         self._maps.offer(service, key_map)
 
-    async def _async_arrives(self, service: str, wanted: int) -> bool:
-        """Wait for datagrams; tell whether all that is spoken of has come."""
+    async def _async_wait_for_change(self, service: str, wanted: int) -> bool:
+        """Wait for datagrams; return whether all announced changes came."""
         while True:
             await asyncio.sleep(PULL_WAIT_S)
-            version = self._apply_early(service)
+            version = self._apply_out_of_order(service)
             if version < wanted:
                 return False
-            wanted = self._early.newest(service)
+            wanted = self._out_of_order.newest_version(service)
             if wanted <= version:
                 return True
--- a/plantaingrade/peers/map_relay.py
+++ b/plantaingrade/peers/map_relay.py
@@ -1,4 +1,4 @@
-"""How changes of a key map reach other members."""
+"""Interface through which changes of a key map reach other members."""
 
 from collections.abc import Collection
 from typing import Protocol
@@ -8,7 +8,7 @@
 
 
 class MapRelay(Protocol):
-    """Tell other members of changes that were committed."""
+    """Notify other members of committed changes of a key map."""
 
     def publish_change(
         self,
@@ -17,9 +17,9 @@
         after: KeyMap,
         skipped: Collection[str] = (),
     ) -> None:
-        """Tell every member how a map changed; some may miss it.
+        """Send a change to every member by datagram, which may be lost.
 
-        ``skipped`` names those that are told otherwise.
+        ``skipped`` names members that are notified in another way.
         """
 
     async def async_send_handover(
@@ -29,4 +29,4 @@
         after: KeyMap,
         tokens: tuple[Token, ...],
     ) -> None:
-        """Tell the member that got keys, with the tokens of their release."""
+        """Notify the new owner, with the handover tokens of the release."""
--- a/plantaingrade/peers/own_row.py
+++ b/plantaingrade/peers/own_row.py
@@ -1,4 +1,4 @@
-"""The row of a member that holds no keys; it only makes the member known."""
+"""Store row that registers a member without keys."""
 
 from plantaingrade.eventlog import EventLog
 from plantaingrade.holds.lease import MemberRow, encode_member_row
@@ -23,7 +23,7 @@
     __slots__ = ('_epoch', '_log', '_member', '_store', '_version')
 
     def __init__(self, member: Member, store: Store, log: EventLog) -> None:
-        """Suppose that the row is not there yet."""
+        """Assume that the row does not exist yet."""
         self._member = member
         self._store = store
         self._log = log
@@ -32,15 +32,14 @@
 
     @property
     def is_written(self) -> bool:
-        """Tell whether the row stands in the newest epoch of the store."""
+        """Return whether the row is in the newest epoch of the store."""
         return bool(self._version) and self._is_of_newest_epoch()
 
     async def async_write(self) -> bool:
-        """Write the row; tell whether that is done.
+        """Write the row; return whether it was written.
 
-        The row of an earlier run is found by the conflict that it leads to, so
-        that nothing has to be read first. Each epoch of the store has rows of
-        its own.
+        A row of an earlier run causes a conflict, which returns its version,
+        so no read is needed first. Each epoch of the store has its own rows.
         """
         outcome = await self._async_put()
         if isinstance(outcome, EpochEnded):
@@ -56,7 +55,7 @@
     async def async_remove(self) -> None:
         """Remove the row, if it was written.
 
-        Others would send requests to an address where nobody answers.
+        Otherwise peers would send requests to an address without a process.
         """
         if not self.is_written:
             return
@@ -93,7 +92,7 @@
         return member_row(member.service, member.name, self._epoch)
 
     def _found_version(self, conflict: Conflict) -> int:
-        """Return the version of the row as it stands, 0 if there is none."""
+        """Return the current version of the row, 0 if it does not exist."""
         name = self._name()
         found = (row for row in conflict.rows if row.name == name)
         return next((row.version for row in found if not row.is_deleted), 0)
--- a/plantaingrade/peers/service_rows.py
+++ b/plantaingrade/peers/service_rows.py
@@ -1,4 +1,4 @@
-"""Read members, maps and wishes of all services from the store."""
+"""Read members, maps and operator wishes of all services."""
 
 from collections.abc import Callable, Iterable
 
@@ -18,11 +18,15 @@
 from plantaingrade.store.interface import Store
 from plantaingrade.store.unreadable import UnreadableRows
 
-UNREADABLE = (UnreadableLeaseError, UnreadableMapError, UnreadableWishError)
+UNREADABLE_ERRORS = (
+    UnreadableLeaseError,
+    UnreadableMapError,
+    UnreadableWishError,
+)
 
 
 class ServiceRows:
-    """Rows of all services, for one member."""
+    """Reader of the rows of all services, for one member."""
 
     __slots__ = (
         '_log',
@@ -45,7 +49,7 @@
         on_wish: Callable[[Wish], None],
         log: EventLog,
     ) -> None:
-        """Tell of each other member, and of the wish for the own server."""
+        """Pass members to ``on_member`` and the own wish to ``on_wish``."""
         self._own = own
         self._store = store
         self._maps = maps
@@ -56,18 +60,18 @@
         self._unreadable = UnreadableRows(log)
 
     async def async_read(self) -> bool:
-        """Read the rows of every service; tell whether that worked."""
+        """Read the rows of all services; return whether that succeeded."""
         for service in self._services():
             outcome = await self._async_read_service(service)
             if not isinstance(outcome, RangeRead):
                 self._log.write('members-not-read', why=outcome.failure)
                 return False
             for row in outcome.rows:
-                self._take(service, row)
+                self._process_row(service, row)
         return await self._async_read_wish()
 
     async def _async_read_service(self, service: str) -> ReadOutcome:
-        """Read a service's rows in the newest epoch of the store."""
+        """Read the rows of a service in the newest epoch of the store."""
         epoch = self._store.epochs.newest
         outcome = await self._store.async_read(TABLE, part_of(service, epoch))
         if isinstance(outcome, RangeRead) and outcome.epoch != epoch:
@@ -76,9 +80,10 @@
         return outcome
 
     async def _async_read_wish(self) -> bool:
-        """Read the wish for the own server, if it stands in a part of its own.
+        """Read the wish for the own server, if stored apart from the rows.
 
-        Wishes outlive epochs of the store.
+        Wishes remain valid across epochs of the store, so once the store has
+        epochs they are in the part that is named after the service alone.
         """
         service = self._own.service
         if not self._store.epochs.newest:
@@ -88,16 +93,16 @@
             return False
         for row in outcome.rows:
             if row.name == wish_row(service, self._own.name):
-                self._take(service, row)
+                self._process_row(service, row)
         return True
 
-    def _take(self, service: str, row: Row) -> None:
+    def _process_row(self, service: str, row: Row) -> None:
         try:
-            self._keep(service, row)
-        except UNREADABLE as error:
+            self._apply_row(service, row)
+        except UNREADABLE_ERRORS as error:
             self._unreadable.note(row, str(error))
 
-    def _keep(self, service: str, row: Row) -> None:
+    def _apply_row(self, service: str, row: Row) -> None:
         if row.name.key == KEY_MAP:
             if row.version > self._maps.find(service).version:
                 self._maps.offer(service, decode_map(row.body, row.version))
--- a/plantaingrade/peers/witnesses.py
+++ b/plantaingrade/peers/witnesses.py
@@ -1,4 +1,4 @@
-"""Choose and ask the witnesses of leases, and answer as one."""
+"""Choose and query lease witnesses, and answer as a witness."""
 
 import random
 
@@ -23,27 +23,27 @@
 
 
 class PeerWitnesses:
-    """Other processes as witnesses, and this one for them.
+    """Other processes as witnesses for this one, and vice versa.
 
-    Any process can be one, whatever its service. Those of other zones come
-    first: what takes an instance away may take its neighbours too.
+    A process of any service can be a witness. Members of other zones are
+    preferred, as a fault that stops an instance may stop its zone as well.
     """
 
-    __slots__ = ('_book', '_calls', '_chance', '_clock', '_directory', '_own')
+    __slots__ = ('_book', '_calls', '_clock', '_directory', '_own', '_random')
 
     def __init__(
         self, own: Member, directory: Directory, calls: PeerCalls, clock: Clock
     ) -> None:
-        """Have promised nothing yet."""
+        """Start without any promises."""
         self._own = own
         self._directory = directory
         self._calls = calls
         self._clock = clock
         self._book = WitnessBook(own.boot)
-        self._chance = random.Random(own.boot)
+        self._random = random.Random(own.boot)
 
     def choose(self) -> tuple[Witness, ...]:
-        """Return other members that are not suspected, drawn anew."""
+        """Return a random choice of other members that are not suspect."""
         now = self._clock.now()
         members = [
             member
@@ -51,7 +51,7 @@
             if member.name != self._own.name
             and not self._directory.is_suspect(member.name, now)
         ]
-        self._chance.shuffle(members)
+        self._random.shuffle(members)
         members.sort(key=lambda member: member.zone == self._own.zone)
         return tuple(
             Witness(member.name, member.boot)
@@ -59,7 +59,7 @@
         )
 
     async def async_ask(self, witness: Witness, question: Question) -> bool:
-        """Ask one; tell whether it agreed, also if it did not answer."""
+        """Query a witness; return whether it agreed, False without answer."""
         if witness.name == self._own.name:
             return self._decide(question)
         member = self._directory.find(witness.name)
@@ -71,10 +71,10 @@
         )
 
     def answer(self, body: bytes) -> bytes:
-        """Answer the question of another process.
+        """Return the answer to the question of another process.
 
         Raises:
-            MalformedMessageError: the question is not understood.
+            MalformedMessageError: the body is not a valid question.
         """
         is_agreed = self._decide(QUESTION_CODEC.decode(body))
         return AGREED if is_agreed else REFUSED
--- a/plantaingrade/store/__init__.py
+++ b/plantaingrade/store/__init__.py
@@ -1,1 +1,1 @@
-"""Rows of the platform's store: typed calls, outcomes and clock."""
+"""Client interface of the shared store: calls, outcomes and clock."""
--- a/plantaingrade/store/clock.py
+++ b/plantaingrade/store/clock.py
@@ -1,9 +1,9 @@
-"""Relate the store's clock to the clock of this instance."""
+"""Map the store's clock to the local clock of this instance."""
 
 from msgspec import Struct
 
-# Samples older than this are not used: two steady clocks may drift apart by
-# some parts in ten thousand, which over 60 s stays below CLOCK_MARGIN_S.
+# Maximum age of the best sample. Two steady clocks may drift apart by some
+# parts in ten thousand, which over 60 s stays below CLOCK_MARGIN_S.
 SAMPLE_MAX_AGE_S = 60.0
 # Allowance for drift between the two clocks and for rounding to whole
 # milliseconds in the store's answers.
@@ -11,7 +11,7 @@
 
 
 class ClockSample(Struct, frozen=True):
-    """The store read ``store_s`` at some moment of [sent_at, received_at]."""
+    """The store's clock read ``store_s`` within [sent_at, received_at]."""
 
     sent_at: float
     received_at: float
@@ -19,19 +19,19 @@
 
 
 class StoreClock:
-    """Estimate and bound the store's time from the answers that came."""
+    """Estimate and bound the store's time from its answers."""
 
     __slots__ = ('_best', '_latest')
 
     def __init__(self) -> None:
-        """Know nothing."""
+        """Start without samples."""
         self._best: ClockSample | None = None
         self._latest: ClockSample | None = None
 
     def observe(
         self, sent_at: float, received_at: float, store_s: float
     ) -> None:
-        """Take an answer's clock reading."""
+        """Record the clock reading of an answer."""
         sample = ClockSample(sent_at, received_at, store_s)
         self._latest = sample
         best = self._best
@@ -39,7 +39,7 @@
             self._best = sample
 
     def estimate(self, local_s: float) -> float | None:
-        """Return about what the store's clock reads at a local time."""
+        """Return the store's estimated time at a local time, if known."""
         if self._best is None:
             return None
         middle = (self._best.sent_at + self._best.received_at) / 2
@@ -48,9 +48,9 @@
     def earliest_local(self, store_s: float) -> float:
         """Return a local time before which the store cannot read ``store_s``.
 
-        The answer's reading was taken after the call was sent, so counting
-        from the sending can only be early. A holder that stops then never
-        outlives what the store says, however long the answer took.
+        The store read its clock after the call was sent, so counting from the
+        time of sending can only be early. A lease holder that stops then never
+        exceeds its term by the store's clock, however long the answer took.
         """
         if self._best is None:
             return 0.0
--- a/plantaingrade/store/entity.py
+++ b/plantaingrade/store/entity.py
@@ -1,6 +1,6 @@
 """Typed calls to the store and their outcomes.
 
-Versions rise with each transaction, also across epochs of the store; see
+Versions increase with each transaction, also across epochs of the store; see
 ``store.epochs``. ``now_s`` is the store's steady clock in seconds.
 """
 
@@ -14,7 +14,7 @@
 
 
 class StoreFailure(StrEnum):
-    """Why a call has no result."""
+    """Reason why a call has no result."""
 
     NOT_REACHED = 'not-reached'
     BUSY = 'busy'
@@ -34,9 +34,9 @@
 
 
 class Row(Struct, frozen=True):
-    """One row as the store holds it; version 0 marks a row that is not there.
+    """One row as stored; version 0 marks a row that does not exist.
 
-    ``body`` holds the bytes that the writer put there.
+    ``body`` holds the bytes as written.
     """
 
     name: RowName
@@ -46,7 +46,7 @@
 
 
 class Expected(Struct, frozen=True):
-    """Condition that a row has this version; 0 means that it is not there."""
+    """Condition that a row has this version; 0 if it must not exist."""
 
     name: RowName
     version: int
@@ -60,10 +60,10 @@
 
 
 class Transaction(Struct, frozen=True):
-    """Changes that are applied together or not at all.
+    """Changes that are applied atomically.
 
-    ``epoch`` is that of the rows on which the changes are based. In a later one
-    they are not wanted any more: a condition may hold there by chance.
+    ``epoch`` is that of the rows on which the changes are based. They must not
+    be applied in a later epoch, where a condition may hold by chance.
     """
 
     expected: tuple[Expected, ...]
@@ -80,29 +80,29 @@
 
 
 class Conflict(Message):
-    """Nothing was applied; ``rows`` are the rows expected, as they stand."""
+    """Nothing was applied; ``rows`` are the expected rows as now stored."""
 
     rows: tuple[Row, ...]
     now_s: float
 
 
 class NotDone(Message):
-    """Nothing was done."""
+    """The call had no effect."""
 
     failure: StoreFailure
 
 
 class OutcomeUnknown(Message):
-    """The changes may have been applied, or may be applied later."""
+    """The changes may have been applied, or may still be applied."""
 
     failure: StoreFailure
 
 
 class EpochEnded(Message):
-    """The store has come back from a copy since the rows were read.
+    """The store was restored from a backup since the rows were read.
 
-    The changes may have been applied before or after; ``epoch`` is the newest
-    one known.
+    The changes may have been applied before or after the restore; ``epoch`` is
+    the newest known epoch.
     """
 
     epoch: int
@@ -114,14 +114,14 @@
 
 
 class RowsWanted(Struct, frozen=True):
-    """All rows of one part of a table."""
+    """Request for all rows of one part of a table."""
 
     table: str
     part: str
 
 
 class RangeRead(Message):
-    """Rows of a table's part, as of one moment."""
+    """Consistent snapshot of the rows of one part of a table."""
 
     rows: tuple[Row, ...]
     version: int
@@ -134,7 +134,7 @@
 
 
 class Changes(Struct, frozen=True):
-    """Rows changed since a version; the next call goes on from ``version``."""
+    """Rows changed since a version; the next call continues at ``version``."""
 
     rows: tuple[Row, ...]
     version: int
@@ -142,7 +142,7 @@
 
 
 class HistoryGone(Struct, frozen=True):
-    """The changes since that version are no longer kept; read the rows."""
+    """The changes since that version are gone; the rows must be read."""
 
 
 ReadOutcome = RangeRead | NotDone
@@ -150,6 +150,6 @@
 
 
 class StoreUnavailableError(PlantaingradeError):
-    """Report that the store could not be used in the time given."""
+    """Report that the store was not available within the time limit."""
 
-    advice = 'The call is tried again; ownership goes on meanwhile.'
+    advice = 'The call will be retried; current owners continue to serve.'
--- a/plantaingrade/store/epochs.py
+++ b/plantaingrade/store/epochs.py
@@ -1,45 +1,45 @@
-"""Epochs of the store, and versions that name one content in all of them.
+"""Epochs of the store, and versions that are unique across them.
 
-A store that comes back from a copy of its rows, which may be some seconds old,
-begins a new epoch. Its own versions go back then and are given out again. Here
-a version holds the epoch too, so a later content always has a higher one.
+A store that is restored from a backup, which may be some seconds old, starts a
+new epoch. Its own version numbers then go back and are reused. Versions here
+include the epoch, so that later content always has a higher version.
 """
 
 from collections.abc import Callable
 
-# More than a store gives out in its life.
+# More than a store assigns in its lifetime.
 VERSIONS_PER_EPOCH = 1_000_000_000_000
-# The largest version is then a whole number that all writers of JSON keep.
+# Keeps the largest version below 2**53, so that any JSON codec preserves it.
 MAX_EPOCH = 8_000
 
 EpochListener = Callable[[int, int | None], None]
 
 
 def make_version(epoch: int, number: int) -> int:
-    """Return the version of a row to which the store gave a number.
+    """Return the version for a number assigned by the store.
 
-    A row that is not there has version 0 in every epoch.
+    A row that does not exist has version 0 in every epoch.
     """
     return epoch * VERSIONS_PER_EPOCH + number if number else 0
 
 
 def epoch_of(version: int) -> int:
-    """Return the epoch in which a version was given out."""
+    """Return the epoch in which a version was assigned."""
     return version // VERSIONS_PER_EPOCH
 
 
 def number_of(version: int) -> int:
-    """Return the number that the store itself gave for a version."""
+    """Return the number that the store assigned for a version."""
     return version % VERSIONS_PER_EPOCH
 
 
 class StoreEpochs:
-    """Newest epoch that an answer of the store has told."""
+    """Newest epoch reported by the store."""
 
     __slots__ = ('_listeners', '_newest')
 
     def __init__(self) -> None:
-        """Know no epoch yet."""
+        """Start without a known epoch."""
         self._newest: int | None = None
         self._listeners: list[EpochListener] = []
 
@@ -50,15 +50,15 @@
 
     @property
     def are_reported(self) -> bool:
-        """Tell whether the store tells epochs, as one that keeps copies."""
+        """Return whether the store reports epochs, as one with backups does."""
         return self._newest is not None
 
     def listen(self, listener: EpochListener) -> None:
-        """Call back with each new epoch and the one known before, if any."""
+        """Add a callback for each new epoch and the previous one, if any."""
         self._listeners.append(listener)
 
     def note(self, epoch: int) -> None:
-        """Take the epoch of an answer."""
+        """Record the epoch of an answer; notify listeners if it is new."""
         before = self._newest
         if before is not None and epoch <= before:
             return
--- a/plantaingrade/store/interface.py
+++ b/plantaingrade/store/interface.py
@@ -1,4 +1,4 @@
-"""What the product needs of a store."""
+"""Interface of the shared store."""
 
 from typing import Protocol
 
@@ -13,7 +13,7 @@
 
 
 class Store(Protocol):
-    """Rows with versions, changed by transactions."""
+    """Versioned rows that are changed by transactions."""
 
     clock: StoreClock
     epochs: StoreEpochs
@@ -29,4 +29,7 @@
     async def async_follow(
         self, table: str, after: int, wait_s: float
     ) -> FeedOutcome:
-        """Wait for rows of a table that changed after a version."""
+        """Wait for rows of a table that changed after a version.
+
+        ``wait_s`` limits the wait at the store, in seconds.
+        """
--- a/plantaingrade/store/relay.py
+++ b/plantaingrade/store/relay.py
@@ -1,4 +1,4 @@
-"""Reach the store through other processes when it turns this one away."""
+"""Relay store calls through other processes while direct calls fail."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -25,52 +25,52 @@
 from plantaingrade.store.epochs import StoreEpochs
 from plantaingrade.store.interface import Store
 
-# After a call that failed, others go first for this long; then the store is
-# tried directly again. An outage found over is used at most this much later.
+# After a failed direct call, relays are used for this long before the next
+# direct attempt. The end of an outage is noticed at most this much later.
 DIRECT_PAUSE_S = 2.0
-# After a call that others could not do either, they are left alone: the store
-# is away for all, and asking them would only add to the load.
+# After a call that failed through relays too, none are used for this long: the
+# store is unavailable for everyone, and relayed calls would only add load.
 RELAY_PAUSE_S = 1.0
-# Members asked for one call, of those in different zones first.
+# Relays tried for one call; those in other zones come first.
 MAX_RELAYS = 2
-# A member that could not help is asked after all others for this long: what
-# cuts several instances off lasts for seconds.
-REFUSED_PAUSE_S = 5.0
+# A relay that failed is tried after all others for this long, since a fault
+# that cuts off several instances lasts for seconds.
+RELAY_FAILURE_PAUSE_S = 5.0
 
 PATH_COMMIT = '/-/store/commit'
 PATH_READ = '/-/store/read'
 TRANSACTION_CODEC = Codec(Transaction)
 COMMIT_CODEC = Codec(TransactionOutcome)
 READ_CODEC = Codec(ReadOutcome)
-WANTED_CODEC = Codec(RowsWanted)
+ROWS_WANTED_CODEC = Codec(RowsWanted)
 
 
 class RelayCalls(Protocol):
-    """Calls to other processes."""
+    """Client for store calls through other processes."""
 
     async def async_relay(
         self, member: Member, path: str, body: bytes
     ) -> bytes | None:
-        """Have a member make a call; return its answer, if it came."""
+        """Call the store through a member; return None without an answer."""
 
 
 class RelayedStore:
-    """A store that is called directly, or through others while that fails.
+    """Store client that uses other processes as relays while calls fail.
 
-    The store may turn some instances away and serve the others. Another process
-    makes the call in this one's name; conditions and versions are the same.
+    The store may reject some instances and serve the others. A relay makes the
+    call on behalf of this process, with the same conditions and versions.
     """
 
     __slots__ = (
         '_calls',
         '_clock',
+        '_deprioritized_until',
         '_direct',
-        '_direct_bad_until',
+        '_last_relay',
         '_log',
-        '_helper',
         '_members',
-        '_refused_until',
-        '_relay_bad_until',
+        '_skip_direct_until',
+        '_skip_relays_until',
     )
 
     def __init__(
@@ -81,36 +81,36 @@
         clock: Clock,
         log: EventLog,
     ) -> None:
-        """Call directly at first; ``members`` may make calls instead."""
+        """Call directly at first; ``members`` returns possible relays."""
         self._direct = direct
         self._calls = calls
         self._members = members
         self._clock = clock
         self._log = log
-        self._direct_bad_until = 0.0
-        self._relay_bad_until = 0.0
-        self._refused_until: dict[str, float] = {}
-        self._helper = ''
+        self._skip_direct_until = 0.0
+        self._skip_relays_until = 0.0
+        self._deprioritized_until: dict[str, float] = {}
+        self._last_relay = ''
 
     @property
     def clock(self) -> StoreClock:
-        """Return what is known of the store's clock."""
+        """Return the estimate of the store's clock."""
         return self._direct.clock
 
     @property
     def epochs(self) -> StoreEpochs:
-        """Return what is known of the store's epochs."""
+        """Return the known epochs of the store."""
         return self._direct.epochs
 
     async def async_commit(
         self, transaction: Transaction
     ) -> TransactionOutcome:
         """Apply a transaction."""
-        if self._is_direct_good():
+        if self._should_call_directly():
             outcome = await self._direct.async_commit(transaction)
-            self._note_direct(outcome)
-            # What may have been done is not given to others as well: the
-            # caller decides whether to send it again.
+            self._on_direct_outcome(outcome)
+            # A transaction that may have been applied is not relayed as well:
+            # the caller decides whether to send it again.
             if not isinstance(outcome, NotDone):
                 return outcome
         body = TRANSACTION_CODEC.encode(transaction)
@@ -123,12 +123,12 @@
 
     async def async_read(self, table: str, part: str) -> ReadOutcome:
         """Return all rows of one part of a table."""
-        if self._is_direct_good():
+        if self._should_call_directly():
             outcome = await self._direct.async_read(table, part)
-            self._note_direct(outcome)
+            self._on_direct_outcome(outcome)
             if not isinstance(outcome, NotDone):
                 return outcome
-        body = WANTED_CODEC.encode(RowsWanted(table, part))
+        body = ROWS_WANTED_CODEC.encode(RowsWanted(table, part))
         outcome = await self._async_relay_read(body)
         if isinstance(outcome, NotDone):
             return outcome
@@ -144,20 +144,22 @@
         """Wait for rows of a table that changed after a version."""
         return await self._direct.async_follow(table, after, wait_s)
 
-    def _is_direct_good(self) -> bool:
+    def _should_call_directly(self) -> bool:
         now = self._clock.now()
-        return now >= self._direct_bad_until or now < self._relay_bad_until
+        return now >= self._skip_direct_until or now < self._skip_relays_until
 
-    def _note_direct(self, outcome: TransactionOutcome | ReadOutcome) -> None:
-        is_bad = isinstance(outcome, NotDone | OutcomeUnknown)
-        was_bad = self._direct_bad_until > 0
-        if is_bad:
+    def _on_direct_outcome(
+        self, outcome: TransactionOutcome | ReadOutcome
+    ) -> None:
+        has_failed = isinstance(outcome, NotDone | OutcomeUnknown)
+        was_failing = self._skip_direct_until > 0
+        if has_failed:
             now = self._clock.now()
-            self._direct_bad_until = now + DIRECT_PAUSE_S
-            if not was_bad:
+            self._skip_direct_until = now + DIRECT_PAUSE_S
+            if not was_failing:
                 self._log.write('store-lost', why=outcome.failure)
-        elif was_bad:
-            self._direct_bad_until = 0.0
+        elif was_failing:
+            self._skip_direct_until = 0.0
             self._log.write('store-regained')
 
     async def _async_relay_commit(self, body: bytes) -> TransactionOutcome:
@@ -165,7 +167,7 @@
             sent_at = self._clock.now()
             answer = await self._calls.async_relay(member, PATH_COMMIT, body)
             if answer is None:
-                self._note_refusal(member)
+                self._on_relay_failure(member)
                 return OutcomeUnknown(StoreFailure.LOST)
             try:
                 outcome = COMMIT_CODEC.decode(answer)
@@ -174,9 +176,9 @@
             if isinstance(outcome, Committed | Conflict):
                 self._observe(sent_at, outcome.now_s)
             if not isinstance(outcome, NotDone):
-                self._on_helped(member)
+                self._on_relay_success(member)
                 return outcome
-            self._note_refusal(member)
+            self._on_relay_failure(member)
             self._log.write(
                 'relay-refused', member=member.name, why=outcome.failure
             )
@@ -187,7 +189,7 @@
             sent_at = self._clock.now()
             answer = await self._calls.async_relay(member, PATH_READ, body)
             if answer is None:
-                self._note_refusal(member)
+                self._on_relay_failure(member)
                 continue
             try:
                 outcome = READ_CODEC.decode(answer)
@@ -195,55 +197,57 @@
                 continue
             if isinstance(outcome, RangeRead):
                 self._observe(sent_at, outcome.now_s)
-                self._on_helped(member)
+                self._on_relay_success(member)
                 return outcome
-            self._note_refusal(member)
+            self._on_relay_failure(member)
         return NotDone(StoreFailure.NOT_REACHED)
 
     def _relays(self) -> list[Member]:
-        """Return whom to ask: who helped last, then who has not refused.
+        """Return the relays to try, best first; none during the relay pause.
 
-        The pause begins only where somebody is asked, and so is over in time.
+        The last successful relay comes first and recently failed ones last. The
+        pause starts only when relays are returned, so that calls made during
+        the pause do not extend it.
         """
         now = self._clock.now()
-        if now < self._relay_bad_until:
+        if now < self._skip_relays_until:
             return []
-        self._relay_bad_until = now + RELAY_PAUSE_S
+        self._skip_relays_until = now + RELAY_PAUSE_S
         members = self._members()
-        members.sort(key=lambda member: self._rank(member, now))
+        members.sort(key=lambda member: self._priority(member, now))
         return members[:MAX_RELAYS]
 
-    def _rank(self, member: Member, now: float) -> int:
-        if self._refused_until.get(member.name, 0.0) > now:
+    def _priority(self, member: Member, now: float) -> int:
+        if self._deprioritized_until.get(member.name, 0.0) > now:
             return 2
-        return int(member.name != self._helper)
+        return int(member.name != self._last_relay)
 
-    def _on_helped(self, member: Member) -> None:
-        self._helper = member.name
-        self._relay_bad_until = 0.0
+    def _on_relay_success(self, member: Member) -> None:
+        self._last_relay = member.name
+        self._skip_relays_until = 0.0
 
-    def _note_refusal(self, member: Member) -> None:
-        until = self._clock.now() + REFUSED_PAUSE_S
-        self._refused_until[member.name] = until
+    def _on_relay_failure(self, member: Member) -> None:
+        until = self._clock.now() + RELAY_FAILURE_PAUSE_S
+        self._deprioritized_until[member.name] = until
 
     def _observe(self, sent_at: float, store_s: float) -> None:
         self.clock.observe(sent_at, self._clock.now(), store_s)
 
 
 class RelayHandler:
-    """Make calls in the name of other processes."""
+    """Handle store calls on behalf of other processes."""
 
     __slots__ = ('_direct',)
 
     def __init__(self, direct: Store) -> None:
-        """Call the store directly only, so that no call goes in circles."""
+        """Use only direct store calls, so that relays cannot form a loop."""
         self._direct = direct
 
     async def async_commit(self, body: bytes) -> bytes:
-        """Apply another process's transaction; return the outcome.
+        """Apply a transaction of another process; return the outcome.
 
         Raises:
-            MalformedMessageError: the bytes are no transaction.
+            MalformedMessageError: the body is not a valid transaction.
         """
         transaction = TRANSACTION_CODEC.decode(body)
         return COMMIT_CODEC.encode(await self._direct.async_commit(transaction))
@@ -252,8 +256,8 @@
         """Read rows for another process; return the outcome.
 
         Raises:
-            MalformedMessageError: the bytes name no rows.
+            MalformedMessageError: the body does not name a table part.
         """
-        wanted = WANTED_CODEC.decode(body)
+        wanted = ROWS_WANTED_CODEC.decode(body)
         outcome = await self._direct.async_read(wanted.table, wanted.part)
         return READ_CODEC.encode(outcome)
--- a/plantaingrade/store/unreadable.py
+++ b/plantaingrade/store/unreadable.py
@@ -1,34 +1,36 @@
-"""Note rows that another writer left unreadable."""
+"""Report rows that cannot be decoded."""
 
 from collections import deque
 
 from plantaingrade.eventlog import EventLog
 from plantaingrade.store.entity import Row, RowName
 
-# Versions of unreadable rows that are remembered as noted.
-MAX_NOTED = 256
+# Row versions that are remembered as already logged.
+MAX_LOGGED_VERSIONS = 256
 MAX_WHY_CHARS = 200
 
 
 class UnreadableRows:
-    """Log and count each version of an unreadable row once.
+    """Logs and counts each version of an unreadable row once.
 
-    Rows are read again and again, and one that cannot be read would else be
-    logged each time, by each process.
+    Rows are read repeatedly, so an unreadable one would otherwise be logged on
+    each read, by each process.
     """
 
-    __slots__ = ('_log', '_noted')
+    __slots__ = ('_log', '_logged')
 
     def __init__(self, log: EventLog) -> None:
-        """Write to a log, which also counts."""
+        """Write to an event log, which also counts events."""
         self._log = log
-        self._noted: deque[tuple[RowName, int]] = deque(maxlen=MAX_NOTED)
+        self._logged: deque[tuple[RowName, int]] = deque(
+            maxlen=MAX_LOGGED_VERSIONS
+        )
 
     def note(self, row: Row, why: str) -> None:
-        """Take a row that could not be read."""
-        if (row.name, row.version) in self._noted:
+        """Log a row that could not be decoded, unless already logged."""
+        if (row.name, row.version) in self._logged:
             return
-        self._noted.append((row.name, row.version))
+        self._logged.append((row.name, row.version))
         self._log.write(
             'row-unreadable',
             row=row.name.key[:MAX_WHY_CHARS],
--- a/tests/peers/test_strangers.py
+++ b/tests/peers/test_malformed.py
@@ -1,4 +1,4 @@
-"""Datagrams and calls of other writers, and of other versions."""
+"""Malformed datagrams and calls, and those of other versions."""
 
 import asyncio
 import json
@@ -24,16 +24,16 @@
 )
 from plantaingrade.peers.directory import Directory
 from plantaingrade.peers.entity import (
+    Forwarded,
     Goodbye,
     Handover,
     Hello,
     Introduced,
-    LoadTold,
+    LoadReport,
     MapChanged,
     Member,
     Offer,
     OfferReply,
-    Passed,
     Token,
     Welcome,
 )
@@ -52,8 +52,8 @@
 from plantaingrade.store.relay import (
     COMMIT_CODEC,
     READ_CODEC,
+    ROWS_WANTED_CODEC,
     TRANSACTION_CODEC,
-    WANTED_CODEC,
 )
 from tests.strangers import BAD_BODIES, changed
 from tests.virtual import LoopClock, run
@@ -71,10 +71,10 @@
     (CODEC, Welcome(OTHER)),
     (CODEC, Goodbye('s@2', 'b2')),
     (CODEC, CHANGE),
-    (CODEC, LoadTold('s@2', 0.5, 0.01, 4)),
+    (CODEC, LoadReport('s@2', 0.5, 0.01, 4)),
     (CODEC, Introduced(OTHER)),
-    (CODEC, Passed(CHANGE, ('s@3',))),
-    (CODEC, Passed(Introduced(OTHER), ())),
+    (CODEC, Forwarded(CHANGE, ('s@3',))),
+    (CODEC, Forwarded(Introduced(OTHER), ())),
     (HANDOVER_CODEC, Handover(CHANGE, (Token(KeyRange(0, 9), 't'),))),
     (OFFER_CODEC, Offer('s@2', 's', 0.9, 0.3, 0.02)),
     (REPLY_CODEC, OfferReply(True, 0.5, 0.01, 4)),
@@ -82,13 +82,21 @@
     (COMMIT_CODEC, Committed(3, 1.5)),
     (COMMIT_CODEC, Conflict((ROW,), 1.5)),
     (READ_CODEC, RangeRead((ROW,), 7, 1.5)),
-    (WANTED_CODEC, RowsWanted('t', 'p')),
+    (ROWS_WANTED_CODEC, RowsWanted('t', 'p')),
+)
+INVALID_ADDRESSES = (
+    '',
+    'x',
+    ':1',
+    '127.0.0.1',
+    '127.0.0.1:0',
+    '127.0.0.1:99999',
+    'a:1',
 )
-UNUSABLE = ('', 'x', ':1', '127.0.0.1', '127.0.0.1:0', '127.0.0.1:99999', 'a:1')
 
 
-class OneStore:
-    """Rows that are read, as they are."""
+class FixedStore:
+    """Store that returns fixed rows."""
 
     def __init__(self, *rows: Row) -> None:
         self.rows = rows
@@ -98,7 +106,7 @@
         return RangeRead(self.rows, 9, 1.0)
 
 
-def make(*rows: Row) -> tuple[PeerCoordinator, Directory, KeyMaps]:
+def make_coordinator(*rows: Row) -> tuple[PeerCoordinator, Directory, KeyMaps]:
     directory = Directory()
     directory.add(OTHER)
     maps = KeyMaps()
@@ -108,7 +116,7 @@
         OWN,
         directory,
         maps,
-        OneStore(*rows),
+        FixedStore(*rows),
         None,
         clock,
         EventLog('t', clock, os.open(os.devnull, os.O_WRONLY)),
@@ -124,32 +132,32 @@
 
 
 @pytest.mark.parametrize(('codec', 'message'), EXAMPLES)
-def test_no_message_does_harm(codec: Codec, message) -> None:
+def test_changed_messages_are_decoded_or_refused(codec: Codec, message) -> None:
     fields = json.loads(codec.encode(message))
 
     @given(changed(fields))
-    def decode(odd) -> None:
+    def decode(changed_fields) -> None:
         try:
-            found = codec.decode(json.dumps(odd).encode())
+            found = codec.decode(json.dumps(changed_fields).encode())
         except MalformedMessageError:
             return
-        # What is taken can be written again.
+        # What is accepted can be encoded again.
         codec.encode(found)
 
     decode()
 
 
 @pytest.mark.parametrize(('codec', 'message'), EXAMPLES)
-def test_bytes_that_are_no_message(codec: Codec, message) -> None:
+def test_malformed_bytes_are_refused(codec: Codec, message) -> None:
     for body in BAD_BODIES:
         with pytest.raises(MalformedMessageError):
             codec.decode(body)
 
 
 @pytest.mark.parametrize('odd', ['NaN', 'Infinity', '9' * 400])
-def test_a_load_is_a_finite_number(odd: str) -> None:
-    """A load of ``NaN`` is neither above nor below any other."""
-    body = CODEC.encode(LoadTold('s@2', 0.5, 0.01, 4)).replace(
+def test_load_must_be_a_finite_number(odd: str) -> None:
+    """A load of ``NaN`` compares neither above nor below any other."""
+    body = CODEC.encode(LoadReport('s@2', 0.5, 0.01, 4)).replace(
         b'0.5', odd.encode()
     )
     with pytest.raises(MalformedMessageError):
@@ -167,35 +175,35 @@
         ((0, 9, 0, 99),),
     ],
 )
-def test_a_change_that_is_none_leaves_the_map(ranges) -> None:
-    """A datagram tells of a change whose range has no owner on its list.
+def test_invalid_change_leaves_the_map_unchanged(ranges) -> None:
+    """A datagram holds an invalid range, or one without a listed owner.
 
-    It ended in an exception in the socket's callback; place -1 was taken for
-    the last owner.
+    It raised an exception in the socket's callback, and index -1 selected the
+    last owner.
     """
 
-    async def story() -> None:
-        peers, _, maps = make()
-        # Of a member that is not known, so that nobody is asked for the map.
+    async def scenario() -> None:
+        peers, _, maps = make_coordinator()
+        # From an unknown member, so that the map is not requested.
         change = MapChanged('s', 's@8', 1, 2, 2, ('s@2', 's@3'), ranges)
         peers._on_datagram(change)
         assert maps.find('s') is FIRST
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize('address', UNUSABLE)
-def test_members_without_a_usable_address_are_not_met(address: str) -> None:
-    """A row and a datagram name a member whose address nobody can send to.
+@pytest.mark.parametrize('address', INVALID_ADDRESSES)
+def test_members_without_a_valid_address_are_ignored(address: str) -> None:
+    """A row and a datagram name a member with an invalid address.
 
-    The loop that tells all members of a change or a goodbye ended there, and
-    with it the task that keeps up with the others.
+    It raised an exception in the loop that notifies all members of a change or
+    a goodbye, which ended the task that follows the other members.
     """
 
-    async def story() -> None:
-        odd = Member('s@9', 's', 'a', address, 'b9')
+    async def scenario() -> None:
+        unusable = Member('s@9', 's', 'a', address, 'b9')
         good = Member('s@4', 's', 'a', '127.0.0.1:4', 'b4')
-        body = encode_member_row(MemberRow(odd, 5.0, 'w'))
+        body = encode_member_row(MemberRow(unusable, 5.0, 'w'))
         foreign = Member('q@7', 'q', 'a', '127.0.0.1:7', 'b7')
         rows = (
             Row(member_row('s', 'q@7'), row_body(foreign), 3),
@@ -204,18 +212,18 @@
             Row(RowName(TABLE, 's', 'map'), b'[]', 6),
             Row(member_row('s', 's@4'), row_body(good), 7),
         )
-        peers, directory, maps = make(*rows)
+        peers, directory, maps = make_coordinator(*rows)
         assert await peers.async_refresh()
-        peers._on_datagram(Hello(odd))
-        peers._on_datagram(Welcome(odd))
+        peers._on_datagram(Hello(unusable))
+        peers._on_datagram(Welcome(unusable))
         known = {member.name for member in directory.members()}
-        # What was known before a row became unreadable is known still.
+        # A known member is kept when its row becomes unreadable.
         assert known == {'s@2', 's@4'}
         assert maps.find('s') is FIRST
         peers.say_goodbye()
         await asyncio.sleep(0)
 
-    run(story())
+    run(scenario())
 
 
 def row_body(member: Member) -> bytes:
--- a/tests/peers/test_messages.py
+++ b/tests/peers/test_messages.py
@@ -1,4 +1,4 @@
-"""Words between members about maps."""
+"""Messages about key maps between members."""
 
 import asyncio
 import os
@@ -30,16 +30,16 @@
 
 
 class FakeCalls:
-    """Note which maps are asked for."""
+    """Record which members a map is requested from."""
 
     def __init__(self) -> None:
-        self.asked: list[str] = []
+        self.requested: list[str] = []
 
     async def async_fetch(self, call) -> None:
-        self.asked.append(call.address)
+        self.requested.append(call.address)
 
 
-def member_with(maps: KeyMaps, calls: FakeCalls) -> PeerCoordinator:
+def make_coordinator(maps: KeyMaps, calls: FakeCalls) -> PeerCoordinator:
     directory = Directory()
     directory.add(OTHER)
     clock = LoopClock()
@@ -61,37 +61,37 @@
     )
 
 
-def hear(*messages: MapChanged, maps: KeyMaps) -> list[str]:
-    """Return who is asked for the map after messages, 10 ms apart."""
+def receive_messages(*messages: MapChanged, maps: KeyMaps) -> list[str]:
+    """Receive messages 10 ms apart; return whom the map is requested from."""
     calls = FakeCalls()
 
-    async def story() -> None:
-        peers = member_with(maps, calls)
+    async def scenario() -> None:
+        peers = make_coordinator(maps, calls)
         for message in messages:
             peers.endpoint.datagram_received(CODEC.encode(message), None)
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.1)
 
-    run(story())
-    return calls.asked
+    run(scenario())
+    return calls.requested
 
 
-def test_a_change_of_a_range_is_small_and_complete() -> None:
+def test_change_of_a_range_is_small_and_complete() -> None:
     before = first_map()
     after = reassign(before, {KeyRange(5, 9): 's@3'}).at_version(2)
     message = MapChanged.from_maps('s', 's@2', before, after)
     assert len(CODEC.encode(message)) < 250
     maps = KeyMaps()
     maps.offer('s', before)
-    assert not hear(message, maps=maps)
+    assert not receive_messages(message, maps=maps)
     assert maps.find('s').assignments == after.assignments
 
 
-def test_a_change_that_fits_no_datagram_is_asked_for() -> None:
-    """A process that owns hundreds of ranges restarts and takes new fences.
+def test_map_is_fetched_if_its_change_fits_no_datagram() -> None:
+    """A process that owns hundreds of ranges restarts with new fences.
 
-    A datagram with all of them would be dropped, and everybody would go by
-    the old map until some request is turned away.
+    A datagram with all of them would be dropped, and all members would use the
+    old map until a request is refused.
     """
     before = first_map()
     ranges = {KeyRange(key, key): 's@3' for key in range(0, 2000, 5)}
@@ -101,80 +101,80 @@
     maps = KeyMaps()
     maps.offer('s', before)
     empty = MapChanged('s', 's@2', 1, 2, after.fence, (), ())
-    assert hear(empty, maps=maps) == [OTHER.address]
+    assert receive_messages(empty, maps=maps) == [OTHER.address]
 
 
-def test_a_change_after_a_missed_one_is_asked_for() -> None:
+def test_map_is_fetched_after_a_missed_change() -> None:
     before = first_map()
     missed = reassign(before, {KeyRange(5, 9): 's@3'}).at_version(2)
     after = reassign(missed, {KeyRange(50, 90): 's@3'}).at_version(3)
     maps = KeyMaps()
     maps.offer('s', before)
     message = MapChanged.from_maps('s', 's@2', missed, after)
-    assert hear(message, maps=maps) == [OTHER.address]
+    assert receive_messages(message, maps=maps) == [OTHER.address]
     assert maps.find('s').version == 1
 
 
-def test_changes_that_arrive_in_another_order_are_not_asked_for() -> None:
-    """Three members change the map within milliseconds, and each tells.
+def test_map_is_not_fetched_if_changes_arrive_out_of_order() -> None:
+    """Three members change the map within milliseconds and announce it.
 
-    Every change that came before the one it was made from made every member
-    fetch the whole map: with 88 members the largest part of what crosses zones.
+    Every change that arrived before its base version made every member fetch
+    the whole map: with 88 members most of the traffic between zones.
     """
-    maps_told = [first_map()]
+    published_maps = [first_map()]
     for version in (2, 3, 4):
         keys = KeyRange(version * 10, version * 10 + 5)
-        changed = reassign(maps_told[-1], {keys: 's@3'})
-        maps_told.append(changed.at_version(version))
+        changed = reassign(published_maps[-1], {keys: 's@3'})
+        published_maps.append(changed.at_version(version))
     first, second, third = (
         MapChanged.from_maps('s', 's@2', before, after)
-        for before, after in pairwise(maps_told)
+        for before, after in pairwise(published_maps)
     )
     maps = KeyMaps()
-    maps.offer('s', maps_told[0])
-    assert not hear(third, second, first, maps=maps)
+    maps.offer('s', published_maps[0])
+    assert not receive_messages(third, second, first, maps=maps)
     assert maps.find('s').version == 4
-    assert maps.find('s').assignments == maps_told[-1].assignments
+    assert maps.find('s').assignments == published_maps[-1].assignments
 
 
-def test_what_stays_missing_is_asked_for_once() -> None:
-    """The datagram of the first change is lost, the others arrive."""
+def test_map_is_fetched_once_if_a_change_stays_missing() -> None:
+    """The datagram of the first change is lost, the later ones arrive."""
     before = first_map()
     missed = reassign(before, {KeyRange(5, 9): 's@3'}).at_version(2)
     second = reassign(missed, {KeyRange(50, 90): 's@3'}).at_version(3)
     third = reassign(second, {KeyRange(95, 99): 's@3'}).at_version(4)
     maps = KeyMaps()
     maps.offer('s', before)
-    asked = hear(
+    requested = receive_messages(
         MapChanged.from_maps('s', 's@2', missed, second),
         MapChanged.from_maps('s', 's@2', second, third),
         maps=maps,
     )
-    assert asked == [OTHER.address]
+    assert requested == [OTHER.address]
 
 
-def test_garbage_is_counted_and_dropped() -> None:
-    async def story() -> None:
-        peers = member_with(KeyMaps(), FakeCalls())
+def test_malformed_datagrams_are_counted_and_dropped() -> None:
+    async def scenario() -> None:
+        peers = make_coordinator(KeyMaps(), FakeCalls())
         for raw in (b'', b'{', b'{"t":"Nothing"}', b'\xff\xfe', b'[1]'):
             peers.endpoint.datagram_received(raw, None)
         assert peers.endpoint.malformed == 5
 
-    run(story())
+    run(scenario())
 
 
-def test_a_new_run_is_not_judged_by_the_load_of_the_one_before() -> None:
-    """A process stops; its load says that it leaves. A new run has its name.
+def test_restarted_member_does_not_keep_its_old_load() -> None:
+    """A process reports that it leaves, and restarts under the same name.
 
-    It was passed over until the old word was too old.
+    The new run received no work until the old load report expired.
     """
 
-    async def story() -> None:
-        peers = member_with(KeyMaps(), FakeCalls())
+    async def scenario() -> None:
+        peers = make_coordinator(KeyMaps(), FakeCalls())
         loads = peers._loads
         now = LoopClock().now()
         loads.note('s@2', Load(LEAVING_SHARE, 0.01, 4), now)
         peers._on_datagram(Hello(replace(OTHER, boot='b3')))
         assert loads.find('s@2', now) is None
 
-    run(story())
+    run(scenario())
--- a/tests/store/__init__.py
+++ b/tests/store/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of store."""
+"""Tests of the store client."""
--- a/tests/store/test_relay.py
+++ b/tests/store/test_relay.py
@@ -1,4 +1,4 @@
-"""Calls to the store through other processes."""
+"""Store calls through relays."""
 
 import asyncio
 import os
@@ -33,8 +33,8 @@
 MEMBERS = [Member(f's@{place}', 's', 'a', place, 'b') for place in '012345']
 
 
-class FarStore:
-    """A store that this process does not reach."""
+class UnreachableStore:
+    """Store that this process cannot reach."""
 
     def __init__(self) -> None:
         self.clock = StoreClock()
@@ -49,12 +49,12 @@
         return CUT_OFF
 
 
-class Relays:
+class FakeRelays:
     """Other processes; those that are cut off as well refuse."""
 
     def __init__(self, *cut_off: int) -> None:
         self.cut_off = {MEMBERS[number].name for number in cut_off}
-        self.asked: list[str] = []
+        self.called: list[str] = []
         self.answer: RangeRead = READ
         self.commit_answer: TransactionOutcome = DONE
         self.silent: set[str] = set()
@@ -63,7 +63,7 @@
         self, member: Member, path: str, _: bytes
     ) -> bytes | None:
         await asyncio.sleep(0.01)
-        self.asked.append(member.name)
+        self.called.append(member.name)
         if member.name in self.silent:
             return None
         is_cut = member.name in self.cut_off
@@ -73,99 +73,101 @@
         return READ_CODEC.encode(CUT_OFF if is_cut else self.answer)
 
 
-def store_through(relays: Relays) -> RelayedStore:
+def make_store(relays: FakeRelays) -> RelayedStore:
     clock = LoopClock()
     log = EventLog('t', clock, os.open(os.devnull, os.O_WRONLY))
-    return RelayedStore(FarStore(), relays, lambda: list(MEMBERS), clock, log)
+    return RelayedStore(
+        UnreachableStore(), relays, lambda: list(MEMBERS), clock, log
+    )
 
 
-async def async_reach(store: RelayedStore) -> None:
-    """Commit until that works, within the time that a lease has left."""
+async def async_commit_until_done(store: RelayedStore) -> None:
+    """Retry a commit until it succeeds, within the rest of a lease."""
     async with asyncio.timeout(LEASE_S - RENEW_S):
         while await store.async_commit(Transaction(())) != DONE:
             await asyncio.sleep(RETRY_S)
 
 
-def test_relays_are_asked_again_after_two_have_refused() -> None:
-    """A third of the instances is cut off from the store, this one too.
+def test_other_relays_are_tried_after_two_have_refused() -> None:
+    """A third of the instances, including this one, is cut off from the store.
 
-    The first relays that it asks are cut off as well. It goes on asking, and
-    reaches the store through another within seconds, long before its lease
-    ends; and does not ask those first that have refused.
+    The first relays that it tries are cut off as well. It must reach the store
+    through another one within seconds, long before its lease ends, and must not
+    call any relay twice.
     """
-    relays = Relays(0, 1, 2)
+    relays = FakeRelays(0, 1, 2)
 
-    async def story() -> float:
-        store = store_through(relays)
-        began = asyncio.get_running_loop().time()
-        await async_reach(store)
-        return asyncio.get_running_loop().time() - began
+    async def scenario() -> float:
+        store = make_store(relays)
+        started_at = asyncio.get_running_loop().time()
+        await async_commit_until_done(store)
+        return asyncio.get_running_loop().time() - started_at
 
-    assert run(story()) < 2 * (RELAY_PAUSE_S + DIRECT_S + RETRY_S)
-    assert len(relays.asked) == len(set(relays.asked))
+    assert run(scenario()) < 2 * (RELAY_PAUSE_S + DIRECT_S + RETRY_S)
+    assert len(relays.called) == len(set(relays.called))
 
 
-def test_a_relay_that_answered_is_asked_first() -> None:
-    relays = Relays(0, 1, 2, 3, 4)
+def test_last_successful_relay_is_tried_first() -> None:
+    relays = FakeRelays(0, 1, 2, 3, 4)
 
-    async def story() -> None:
-        store = store_through(relays)
-        await async_reach(store)
-        relays.asked.clear()
+    async def scenario() -> None:
+        store = make_store(relays)
+        await async_commit_until_done(store)
+        relays.called.clear()
         for _ in range(5):
             assert await store.async_commit(Transaction(())) == DONE
             assert await store.async_read('t', 'p') == READ
 
-    run(story())
-    assert set(relays.asked) == {MEMBERS[5].name}
+    run(scenario())
+    assert set(relays.called) == {MEMBERS[5].name}
 
 
-def test_a_relay_that_fell_silent_is_not_asked_first_again() -> None:
-    """What it was asked may have been done, so nobody else is asked now."""
-    relays = Relays()
+def test_unresponsive_relay_is_not_tried_first_again() -> None:
+    """Its commit may have been applied, so no other relay is tried for it."""
+    relays = FakeRelays()
     relays.silent.add(MEMBERS[0].name)
 
-    async def story() -> None:
-        store = store_through(relays)
+    async def scenario() -> None:
+        store = make_store(relays)
         outcome = await store.async_commit(Transaction(()))
         assert isinstance(outcome, OutcomeUnknown)
-        relays.asked.clear()
-        await async_reach(store)
+        relays.called.clear()
+        await async_commit_until_done(store)
 
-    run(story())
-    assert MEMBERS[0].name not in relays.asked
+    run(scenario())
+    assert MEMBERS[0].name not in relays.called
 
 
-def test_relays_are_left_alone_while_the_store_is_away_for_all() -> None:
-    relays = Relays(*range(len(MEMBERS)))
+def test_relays_are_rarely_tried_while_the_store_is_down_for_all() -> None:
+    relays = FakeRelays(*range(len(MEMBERS)))
 
-    async def story() -> None:
-        store = store_through(relays)
+    async def scenario() -> None:
+        store = make_store(relays)
         for _ in range(40):
             await store.async_commit(Transaction(()))
 
-    run(story())
-    assert len(relays.asked) <= 2 * 40 * DIRECT_S / RELAY_PAUSE_S + 2
+    run(scenario())
+    assert len(relays.called) <= 2 * 40 * DIRECT_S / RELAY_PAUSE_S + 2
 
 
-def test_a_relayed_answer_of_a_store_without_epochs_tells_none() -> None:
-    """Else leases of epochs that never were would be waited for."""
+def test_relayed_answer_of_a_store_without_epochs_reports_none() -> None:
+    """Otherwise leases of nonexistent epochs would be waited for."""
 
-    async def story() -> None:
-        store = store_through(Relays())
+    async def scenario() -> None:
+        store = make_store(FakeRelays())
         assert await store.async_read('t', 'p') == READ
         assert not store.epochs.are_reported
 
-    run(story())
+    run(scenario())
 
 
-def test_a_new_epoch_is_heard_of_through_a_relay() -> None:
-    relays = Relays()
+def test_new_epoch_is_learned_through_a_relay() -> None:
+    relays = FakeRelays()
     relays.answer = RangeRead((), make_version(2, 7), 100.0)
     relays.commit_answer = EpochEnded(3)
 
-    async def story() -> None:
-        store = store_through(relays)
+    async def scenario() -> None:
+        store = make_store(relays)
         assert await store.async_read('t', 'p') == relays.answer
         assert store.epochs.newest == 2
         change = Transaction((), epoch=2)
@@ -173,4 +175,4 @@
         outdated = NotDone(StoreFailure.OUTDATED)
         assert await store.async_read('t', 'p') == outdated
 
-    run(story())
+    run(scenario())
