--- a/plantaingrade/holds/registry.py
+++ b/plantaingrade/holds/registry.py
@@ -474,7 +474,7 @@
             return self._lose('own row removed')
         own = _decode_own(found, self.member.name)
         if own is None:
-            self.rows.unreadable.note(found, 'Own row.')
+            self.rows.unreadable.log_once(found, 'Own row.')
         if own is None and self.is_joined:
             return self._lose('own row unreadable')
         if own is None:
--- a/plantaingrade/holds/rows.py
+++ b/plantaingrade/holds/rows.py
@@ -108,7 +108,7 @@
         try:
             self._keep(row, now_s)
         except (UnreadableMapError, UnreadableLeaseError) as error:
-            self.unreadable.note(row, str(error))
+            self.unreadable.log_once(row, str(error))
             self._keep_unreadable(row, known, now_s)
             return False
         return True
--- a/plantaingrade/peers/service_rows.py
+++ b/plantaingrade/peers/service_rows.py
@@ -100,7 +100,7 @@
         try:
             self._apply_row(service, row)
         except UNREADABLE_ERRORS as error:
-            self._unreadable.note(row, str(error))
+            self._unreadable.log_once(row, str(error))
 
     def _apply_row(self, service: str, row: Row) -> None:
         if row.name.key == KEY_MAP:
--- a/plantaingrade/platform/store.py
+++ b/plantaingrade/platform/store.py
@@ -228,7 +228,7 @@
         epoch = _read_epoch(reply)
         if epoch is None:
             return DatedReply(reply, self.epochs.newest)
-        self.epochs.note(epoch)
+        self.epochs.record(epoch)
         return DatedReply(reply, epoch)
 
     def _decode_commit(
--- a/plantaingrade/store/epochs.py
+++ b/plantaingrade/store/epochs.py
@@ -57,7 +57,7 @@
         """Add a callback for each new epoch and the previous one, if any."""
         self._listeners.append(listener)
 
-    def note(self, epoch: int) -> None:
+    def record(self, epoch: int) -> None:
         """Record the epoch of an answer; notify listeners if it is new."""
         before = self._newest
         if before is not None and epoch <= before:
--- a/plantaingrade/store/relay.py
+++ b/plantaingrade/store/relay.py
@@ -116,7 +116,7 @@
         body = TRANSACTION_CODEC.encode(transaction)
         outcome = await self._async_relay_commit(body)
         if isinstance(outcome, EpochEnded):
-            self.epochs.note(outcome.epoch)
+            self.epochs.record(outcome.epoch)
         if transaction.epoch < self.epochs.newest:
             return EpochEnded(self.epochs.newest)
         return outcome
@@ -133,7 +133,7 @@
         if isinstance(outcome, NotDone):
             return outcome
         if outcome.epoch > self.epochs.newest:
-            self.epochs.note(outcome.epoch)
+            self.epochs.record(outcome.epoch)
         if outcome.epoch < self.epochs.newest:
             return NotDone(StoreFailure.OUTDATED)
         return outcome
--- a/plantaingrade/store/unreadable.py
+++ b/plantaingrade/store/unreadable.py
@@ -26,7 +26,7 @@
             maxlen=MAX_LOGGED_VERSIONS
         )
 
-    def note(self, row: Row, why: str) -> None:
+    def log_once(self, row: Row, why: str) -> None:
         """Log a row that could not be decoded, unless already logged."""
         if (row.name, row.version) in self._logged:
             return
--- a/tests/holds/fakes.py
+++ b/tests/holds/fakes.py
@@ -243,7 +243,7 @@
 
     def _note(self, epoch: int) -> None:
         if self.rows.tells_epochs:
-            self.epochs.note(epoch)
+            self.epochs.record(epoch)
 
     def _fault_of(self, transaction: Transaction) -> Fault:
         if self.is_away:
--- a/tests/holds/test_store_copy.py
+++ b/tests/holds/test_store_copy.py
@@ -306,7 +306,7 @@
         world.kill(again)
         world.rows.come_back(copy)
         for place in (holder, again):
-            place.store.epochs.note(world.rows.epoch)
+            place.store.epochs.record(world.rows.epoch)
         holder.holds.registry.follow_epoch()
         outcomes = [
             await holder.holds.registry.async_commit(
