--- a/plantaingrade/membership/entity.py
+++ b/plantaingrade/membership/entity.py
@@ -1,4 +1,4 @@
-"""Messages that spread the journal."""
+"""Messages that replicate the journal."""
 
 from msgspec import Struct
 
@@ -8,8 +8,8 @@
 from plantaingrade.ownership.entity import HandoverMessage
 
 
-class Beat(Message):
-    """A process tells which generation it has applied."""
+class Heartbeat(Message, tag='Beat'):
+    """Announces which generation a process has applied."""
 
     member: str
     generation: int
@@ -18,17 +18,17 @@
     draining: bool
 
 
-Datagram = LeaseMessage | HandoverMessage | Beat
+Datagram = LeaseMessage | HandoverMessage | Heartbeat
 
 
 class PullRequest(Struct, frozen=True):
-    """Ask for the records after a generation."""
+    """Request for the records after a generation."""
 
     after: int
 
 
 class PullReply(Struct, frozen=True):
-    """Records, or the whole map if they no longer reach back."""
+    """Records, or the whole state if older records are no longer kept."""
 
     records: tuple[Record, ...]
     state: MapState | None
--- a/plantaingrade/peers/courier.py
+++ b/plantaingrade/peers/map_relay.py
@@ -1,4 +1,4 @@
-"""How changes of a key map reach other members."""
+"""Interface through which changes of a key map reach other members."""
 
 from collections.abc import Collection
 from typing import Protocol
@@ -7,26 +7,26 @@
 from plantaingrade.peers.entity import Token
 
 
-class Courier(Protocol):
-    """Tell other members of changes that were committed."""
+class MapRelay(Protocol):
+    """Notify other members of committed changes of a key map."""
 
-    def spread(
+    def publish_change(
         self,
         service: str,
         before: KeyMap,
         after: KeyMap,
         skipped: Collection[str] = (),
     ) -> None:
-        """Tell every member how a map changed; some may miss it.
+        """Send a change to every member by datagram, which may be lost.
 
-        ``skipped`` names those that are told otherwise.
+        ``skipped`` names members that are notified in another way.
         """
 
-    async def async_hand(
+    async def async_send_handover(
         self,
         target: str,
         before: KeyMap,
         after: KeyMap,
         tokens: tuple[Token, ...],
     ) -> None:
-        """Tell the member that got keys, with the tokens of their release."""
+        """Notify the new owner, with the handover tokens of the release."""
--- a/tests/holds/fakes.py
+++ b/tests/holds/fakes.py
@@ -243,7 +243,7 @@
 
     def _note(self, epoch: int) -> None:
         if self.rows.tells_epochs:
-            self.epochs.note(epoch)
+            self.epochs.record(epoch)
 
     def _fault_of(self, transaction: Transaction) -> Fault:
         if self.is_away:
@@ -439,7 +439,7 @@
         self._own = own
         self.told: list[tuple[KeyMap, KeyMap]] = []
 
-    def spread(
+    def publish_change(
         self,
         service: str,
         before: KeyMap,
@@ -453,7 +453,7 @@
             if is_told and self._world.is_heard():
                 place.maps.offer(service, after)
 
-    async def async_hand(
+    async def async_send_handover(
         self,
         target: str,
         before: KeyMap,
