--- a/bench/platform.py
+++ b/bench/platform.py
@@ -26,7 +26,7 @@
     RoutedRequest,
 )
 from plantaingrade.requests.hop import (
-    Known,
+    KnownVersions,
     encode_hop,
     encode_load,
     encode_outcome,
@@ -114,7 +114,9 @@
     )
     routed = RoutedRequest(caller, 'huvo11a', 'huvo11a', True, 2, 0.5, 0.2)
     request = Request(
-        caller.method, caller.target, encode_hop(routed, Known(12, 345), 0)
+        caller.method,
+        caller.target,
+        encode_hop(routed, KnownVersions(12, 345), 0),
     )
     stamp = (b'server-stamp', b'3e1b.07.5a2.600.0.c9f2a4d1')
     answer = encode_outcome(Answered(Answer(200, (stamp,), b'x' * BODY_BYTES)))
--- a/lab/world.py
+++ b/lab/world.py
@@ -42,7 +42,7 @@
 from plantaingrade.requests.server_path import (
     ServerHooks,
     ServerPath,
-    ServerWire,
+    ServerCodec,
 )
 from plantaingrade.requests.targets import TargetChooser
 from tests.virtual import LoopClock
@@ -116,7 +116,7 @@
         way_s = max(self._world.way_s(self._own, each) for each in others)
         await asyncio.sleep(way_s)
         room_by_name = {
-            each.member.name: each.server.room(kind, priority)
+            each.member.name: each.server.free_capacity(kind, priority)
             for each in others
         }
         self._world.questions += len(others)
@@ -187,7 +187,7 @@
         )
         self.server = LabServerPath(
             self,
-            ServerWire('', _nothing, _nothing),
+            ServerCodec('', _nothing, _nothing),
             self.life,
             self.holds,
             self.gate,
--- a/plantaingrade/requests/bodies.py
+++ b/plantaingrade/requests/bodies.py
@@ -6,10 +6,13 @@
 from plantaingrade.http.channel import Channel
 from plantaingrade.http.messages import Data
 from plantaingrade.requests.const import MAX_BODIES_BYTES
-from plantaingrade.requests.errors import BodyTooLongError, NoRoomError
+from plantaingrade.requests.errors import (
+    BodyTooLongError,
+    BufferBudgetExceededError,
+)
 
 
-class BodyRoom:
+class BufferBudget:
     """Bytes of bodies that are in memory now."""
 
     __slots__ = ('_limit', 'taken')
@@ -20,7 +23,7 @@
         self.taken = 0
 
     @asynccontextmanager
-    async def body(
+    async def read_body(
         self, channel: Channel, max_bytes: int | None
     ) -> AsyncIterator[bytes]:
         """Yield a whole body, and give its room back in the end.
@@ -30,7 +33,7 @@
 
         Raises:
             BodyTooLongError: the body is above the limit for one.
-            NoRoomError: the bodies in memory leave no room.
+            BufferBudgetExceededError: the bodies in memory leave no room.
         """
         chunks: list[bytes] = []
         size = 0
@@ -52,4 +55,4 @@
         if max_bytes is not None and size > max_bytes:
             raise BodyTooLongError('Body too long.')
         if self.taken > self._limit:
-            raise NoRoomError('No room for another body.')
+            raise BufferBudgetExceededError('No room for another body.')
--- a/plantaingrade/requests/coordinator.py
+++ b/plantaingrade/requests/coordinator.py
@@ -28,10 +28,10 @@
     RoutedRequest,
     Unknown,
 )
-from plantaingrade.requests.patience import Patience
 from plantaingrade.requests.peer_path import PeerPath
 from plantaingrade.requests.server_path import ServerPath
 from plantaingrade.requests.targets import TargetChooser
+from plantaingrade.requests.usual_deadlines import Patience
 
 # Refusals of a process that never reached a server: they cost the server
 # nothing, so they draw on no budget.
@@ -61,7 +61,7 @@
 FULL_REASONS = frozenset((NotRunReason.QUEUE_FULL, NotRunReason.TOO_LATE))
 # Other servers that are asked after one was full. Each costs a hop, and in an
 # overload of the whole service nobody has room.
-MAX_SPILLS = 1
+MAX_SPILLOVERS = 1
 # Refusals after which another process, or the same one, may do better.
 RETRY_REASONS = FREE_REASONS | {NotRunReason.SERVER_REFUSED}
 
@@ -250,7 +250,7 @@
     async def _async_may_spill(self, progress: Progress) -> bool:
         """Tell whether another server may have room, and choose it."""
         service = progress.routed.service
-        if progress.spills >= MAX_SPILLS or self._targets.is_keyed(service):
+        if progress.spills >= MAX_SPILLOVERS or self._targets.is_keyed(service):
             return False
         progress.spills += 1
         progress.next_member = await self._targets.async_choose_other(
--- a/plantaingrade/requests/entity.py
+++ b/plantaingrade/requests/entity.py
@@ -30,7 +30,7 @@
     PEER_DOWN = 'process-not-reached'
     UNREACHABLE = 'process-unreachable'
     LEAVING = 'process-leaving'
-    NO_ROOM = 'no-room-for-body'
+    NO_BUFFER_BUDGET = 'no-room-for-body'
     CRASHES = 'crashes-servers'
 
 
--- a/plantaingrade/requests/errors.py
+++ b/plantaingrade/requests/errors.py
@@ -15,7 +15,7 @@
     advice = 'Send less, or ask the operator for a higher limit.'
 
 
-class NoRoomError(PlantaingradeError):
+class BufferBudgetExceededError(PlantaingradeError):
     """Report that the bodies in memory leave no room for another."""
 
     advice = 'Come back when others have been served.'
--- a/plantaingrade/requests/hop.py
+++ b/plantaingrade/requests/hop.py
@@ -59,7 +59,7 @@
     advice = 'The other process runs another version.'
 
 
-class Known(Struct, frozen=True):
+class KnownVersions(Struct, frozen=True):
     """Versions that the sender of a request goes by.
 
     A receiver that is behind learns so from any request that reaches it.
@@ -69,7 +69,9 @@
     key_map: int
 
 
-def encode_hop(routed: RoutedRequest, known: Known, now: float) -> Headers:
+def encode_hop(
+    routed: RoutedRequest, known: KnownVersions, now: float
+) -> Headers:
     """Return the headers of a request to another process.
 
     Times travel as milliseconds left, since clocks of instances differ.
@@ -103,7 +105,7 @@
 
 def decode_hop(
     raw: Request, body: bytes, now: float
-) -> tuple[RoutedRequest, Known]:
+) -> tuple[RoutedRequest, KnownVersions]:
     """Return the request that another process sent, and what it went by.
 
     Raises:
@@ -119,7 +121,7 @@
         left_s, until_s, due_s = (int(part) / MS_PER_S for part in parts[:3])
         priority = int(parts[3])
         key = int(parts[5]) if parts[5] else None
-        known = Known(int(parts[8]), int(parts[9]))
+        known = KnownVersions(int(parts[8]), int(parts[9]))
     except ValueError as error:
         raise MalformedHopError('Request of a process has no times.') from error
     caller = CallerRequest(
--- a/plantaingrade/requests/peer_path.py
+++ b/plantaingrade/requests/peer_path.py
@@ -27,7 +27,7 @@
     UnknownReason,
 )
 from plantaingrade.requests.hop import (
-    Known,
+    KnownVersions,
     decode_load,
     decode_outcome,
     encode_hop,
@@ -52,7 +52,7 @@
         loads: LoadBook,
         pool: Pool,
         clock: Clock,
-        known: Callable[[str], Known],
+        known: Callable[[str], KnownVersions],
         log: EventLog,
     ) -> None:
         """Use a pool of connections to other processes.
@@ -85,7 +85,7 @@
         return outcome
 
     async def _async_exchange(
-        self, routed: RoutedRequest, member: Member, known: Known
+        self, routed: RoutedRequest, member: Member, known: KnownVersions
     ) -> Outcome:
         try:
             channel = await self._pool.acquire(member.address)
--- a/plantaingrade/requests/placing.py
+++ b/plantaingrade/requests/selection.py
@@ -30,14 +30,14 @@
 UNKNOWN_SHARE = 0.5
 # Tolerated share of failed requests above that of the soundest server: rates
 # are samples, and what all servers fail alike has its cause elsewhere.
-MAX_EXCESS_FAILURES = 0.2
+MAX_EXCESS_FAILURE_RATE = 0.2
 # Members of a zone that are asked for their room at a time.
-ASKED_COUNT = 3
+MAX_POLLED = 3
 # Part of the time left to the end of the latency objective in which a request
 # must probably be done to stay in its zone.
-SAFE_PART = 1.0
+OBJECTIVE_FACTOR = 1.0
 # A server in another zone must end a request in this part of the time.
-FAR_PART = 0.75
+CROSS_ZONE_FACTOR = 0.75
 
 
 class Place(Struct, frozen=True):
@@ -87,7 +87,7 @@
     """Return some places that are asked for their room."""
     most = most_failures(places)
     sound = [place for place in places if place.failures <= most]
-    return chance.sample(sound, min(len(sound), ASKED_COUNT))
+    return chance.sample(sound, min(len(sound), MAX_POLLED))
 
 
 def soonest(room_by_name: Mapping[str, Room]) -> str | None:
@@ -98,19 +98,19 @@
     sound = [
         name
         for name, room in room_by_name.items()
-        if room.failures <= least + MAX_EXCESS_FAILURES
+        if room.failures <= least + MAX_EXCESS_FAILURE_RATE
     ]
     return min(sound, key=lambda name: room_by_name[name].ends_in_s)
 
 
 def is_near_enough(room: Room, due_in_s: float) -> bool:
     """Tell whether a request stays in its zone without further questions."""
-    return room.ends_in_s <= SAFE_PART * due_in_s
+    return room.ends_in_s <= OBJECTIVE_FACTOR * due_in_s
 
 
 def is_worth_crossing(near: Room, far: Room) -> bool:
     """Tell whether a request goes to another zone for a sooner end."""
-    return far.ends_in_s < FAR_PART * near.ends_in_s
+    return far.ends_in_s < CROSS_ZONE_FACTOR * near.ends_in_s
 
 
 def choose_after_refusal(
@@ -124,7 +124,7 @@
 def most_failures(places: Sequence[Place]) -> float:
     """Return the share of failures up to which a place counts as sound."""
     least = min((place.failures for place in places), default=0.0)
-    return least + MAX_EXCESS_FAILURES
+    return least + MAX_EXCESS_FAILURE_RATE
 
 
 def best_of_two(places: Sequence[Place], chance: random.Random) -> Place | None:
--- a/plantaingrade/requests/server_path.py
+++ b/plantaingrade/requests/server_path.py
@@ -53,7 +53,7 @@
 DecodeReply = Callable[[Response], ServerReply]
 
 
-class ServerWire(Struct, frozen=True):
+class ServerCodec(Struct, frozen=True):
     """How requests to the server and its answers are written."""
 
     address: str
@@ -99,7 +99,7 @@
 
     def __init__(
         self,
-        wire: ServerWire,
+        wire: ServerCodec,
         life: BackendLife,
         holds: HoldCoordinator,
         gate: Gate,
@@ -126,7 +126,7 @@
         self._clock = clock
         self._log = log
 
-    def room(self, kind: str, priority: int) -> Room | None:
+    def free_capacity(self, kind: str, priority: int) -> Room | None:
         """Return how soon the server could run a request without a key."""
         is_closed = self.is_closed or self.is_evacuated or self.is_drained
         if is_closed or not self._life.takes_work:
@@ -141,7 +141,7 @@
             self._failures.rate(self._life.instance, now),
         )
 
-    def on_new_life(self) -> None:
+    def on_new_incarnation(self) -> None:
         """Keep no connection to the life before.
 
         Nobody has closed them, and work sent on one of them may be lost.
@@ -149,7 +149,7 @@
         self._pool.forget(self._wire.address)
         self._note_down()
 
-    def suspect(self, digests: tuple[str, ...]) -> None:
+    def record_crash(self, digests: tuple[str, ...]) -> None:
         """Take what ran at a server when it crashed, here or elsewhere."""
         self._crashes.suspects.note_crash(digests, self._clock.now())
 
@@ -246,7 +246,7 @@
         digests = self._crashes.on_down(self._clock.now())
         if digests:
             self._log.write('server-crashed', ran=digests)
-            self.suspect(digests)
+            self.record_crash(digests)
             self._hooks.on_crash(digests)
 
     def _observe(self, routed: RoutedRequest, key: int) -> None:
--- a/plantaingrade/requests/targets.py
+++ b/plantaingrade/requests/targets.py
@@ -10,7 +10,7 @@
 from plantaingrade.peers.entity import Member
 from plantaingrade.requests.entity import Outcome, RoutedRequest
 from plantaingrade.requests.failures import FailureRates
-from plantaingrade.requests.placing import (
+from plantaingrade.requests.selection import (
     Place,
     choose_after_refusal,
     choose_place,
--- a/plantaingrade/sidecar/fronts.py
+++ b/plantaingrade/sidecar/fronts.py
@@ -18,7 +18,7 @@
     Response,
     State,
 )
-from plantaingrade.requests.bodies import BodyRoom
+from plantaingrade.requests.bodies import BufferBudget
 from plantaingrade.requests.const import (
     DEFAULT_RETRY_AFTER_S,
     STATUS_BAD_GATEWAY,
@@ -44,10 +44,10 @@
 from plantaingrade.requests.errors import (
     BodyTooLongError,
     MalformedRequestError,
-    NoRoomError,
+    BufferBudgetExceededError,
 )
 from plantaingrade.requests.hop import (
-    Known,
+    KnownVersions,
     decode_hop,
     encode_load,
     encode_outcome,
@@ -105,7 +105,7 @@
         clock: Clock,
     ) -> None:
         """Serve by a coordinator."""
-        self._room = BodyRoom()
+        self._room = BufferBudget()
         self.is_closed = False
         self._coordinator = coordinator
         self._decode = decode
@@ -122,13 +122,15 @@
             return
         limit = None if self.limits is None else self.limits.max_body_bytes
         try:
-            async with self._room.body(channel, limit) as body:
+            async with self._room.read_body(channel, limit) as body:
                 caller = self._decode(raw, body, arrived)
                 await self._async_answer(caller, channel)
         except BodyTooLongError:
             send_answer(channel, Answer(STATUS_TOO_LARGE, (), b''))
-        except NoRoomError:
-            refusal = NotRun(NotRunReason.NO_ROOM, DEFAULT_RETRY_AFTER_S)
+        except BufferBudgetExceededError:
+            refusal = NotRun(
+                NotRunReason.NO_BUFFER_BUDGET, DEFAULT_RETRY_AFTER_S
+            )
             send_answer(channel, _answer_of(refusal))
         except MalformedRequestError:
             send_answer(channel, Answer(STATUS_BAD_REQUEST, (), b''))
@@ -198,7 +200,7 @@
         clock: Clock,
         control: Callable[[Request, bytes], Awaitable[Answer]],
         load: Callable[[], Load],
-        on_known: Callable[[Known], None],
+        on_known: Callable[[KnownVersions], None],
     ) -> None:
         """Serve at the own server; ``control`` takes all else.
 
--- a/plantaingrade/sidecar/process.py
+++ b/plantaingrade/sidecar/process.py
@@ -26,12 +26,12 @@
 from plantaingrade.peers.directory import Directory
 from plantaingrade.peers.entity import Member
 from plantaingrade.requests.coordinator import RequestCoordinator
-from plantaingrade.requests.hop import Known
+from plantaingrade.requests.hop import KnownVersions
 from plantaingrade.requests.peer_path import PeerPath
 from plantaingrade.requests.server_path import (
     ServerHooks,
     ServerPath,
-    ServerWire,
+    ServerCodec,
 )
 from plantaingrade.requests.targets import TargetChooser
 from plantaingrade.sidecar.const import (
@@ -187,8 +187,10 @@
             PeerHooks(
                 self._service_names,
                 lambda wish: self._operators.follow(wish),
-                lambda digests: self._server_path.suspect(digests),
-                lambda kind, priority: self._server_path.room(kind, priority),
+                lambda digests: self._server_path.record_crash(digests),
+                lambda kind, priority: self._server_path.free_capacity(
+                    kind, priority
+                ),
             ),
         )
         store = RelayedStore(
@@ -228,7 +230,7 @@
             self._clock,
             self._log,
         )
-        server_wire = ServerWire(
+        server_wire = ServerCodec(
             self._settings.backend,
             self._wire.encode_to_server,
             self._wire.decode_reply,
@@ -433,15 +435,17 @@
         service = self._config.config.service_by_name.get(self._own.service)
         return service is not None and service.is_keyed
 
-    def _known(self, service: str) -> Known:
-        return Known(self._config.version, self._maps.find(service).version)
+    def _known(self, service: str) -> KnownVersions:
+        return KnownVersions(
+            self._config.version, self._maps.find(service).version
+        )
 
     def _load_of(self, name: str, now: float) -> Load | None:
         if name == self._own.name:
             return self._balance.load()
         return self._loads.find(name, now)
 
-    def _on_known(self, known: Known) -> None:
+    def _on_known(self, known: KnownVersions) -> None:
         self._config.on_hint(known.config)
         self.holds.on_hint(known.key_map)
 
@@ -455,7 +459,7 @@
 
         A process that is about to end takes no keys for it.
         """
-        self._server_path.on_new_life()
+        self._server_path.on_new_incarnation()
         self.holds.on_new_life()
         if not self._is_leaving:
             self._balance.stay()
--- a/tests/requests/test_coordinator.py
+++ b/tests/requests/test_coordinator.py
@@ -34,8 +34,8 @@
     Unknown,
     UnknownReason,
 )
-from plantaingrade.requests.patience import Patience
 from plantaingrade.requests.targets import TargetChooser
+from plantaingrade.requests.usual_deadlines import Patience
 from tests.virtual import LoopClock, run
 
 SERVED = Answered(Answer(200, (), b'done'))
--- a/tests/requests/test_hop.py
+++ b/tests/requests/test_hop.py
@@ -17,7 +17,7 @@
     UnknownReason,
 )
 from plantaingrade.requests.hop import (
-    Known,
+    KnownVersions,
     MalformedHopError,
     decode_hop,
     decode_load,
@@ -40,7 +40,7 @@
     NOW + 0.5,
 )
 ROUTED = RoutedRequest(CALLER, 'mine', 'cases', True, 1, NOW + 0.4, NOW + 0.2)
-KNOWN = Known(7, 99)
+KNOWN = KnownVersions(7, 99)
 outcomes = st.one_of(
     st.builds(
         NotRun,
--- a/tests/requests/test_placing.py
+++ b/tests/requests/test_selection.py
@@ -16,8 +16,8 @@
     UnknownReason,
 )
 from plantaingrade.requests.failures import FailureRates, is_failure
-from plantaingrade.requests.placing import (
-    MAX_EXCESS_FAILURES,
+from plantaingrade.requests.selection import (
+    MAX_EXCESS_FAILURE_RATE,
     Place,
     best_of_two,
     choose_after_refusal,
@@ -125,8 +125,8 @@
         rates.observe('a', good, 1.0)
     for outcome in (bad, good) * 4:
         rates.observe('a', outcome, 1.1)
-    assert rates.rate('a', 1.1) > MAX_EXCESS_FAILURES
-    assert rates.rate('a', 6.0) < MAX_EXCESS_FAILURES
+    assert rates.rate('a', 1.1) > MAX_EXCESS_FAILURE_RATE
+    assert rates.rate('a', 6.0) < MAX_EXCESS_FAILURE_RATE
     assert rates.rate('b', 1.1) == approx(0)
 
 
--- a/tests/requests/test_patience.py
+++ b/tests/requests/test_usual_deadlines.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from plantaingrade.requests.patience import (
+from plantaingrade.requests.usual_deadlines import (
     HALVE_AFTER,
     MIN_WAITED_S,
     Patience,
