--- a/plantaingrade/requests/__init__.py
+++ b/plantaingrade/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Requests of callers, from the instance where they begin to their answer."""
+"""Caller requests, from the instance that receives them to their response."""
--- a/plantaingrade/requests/bodies.py
+++ b/plantaingrade/requests/bodies.py
@@ -1,4 +1,4 @@
-"""Read bodies of requests whole, within bounds on memory."""
+"""Buffer whole request bodies within a memory budget."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -13,27 +13,28 @@
 
 
 class BufferBudget:
-    """Bytes of bodies that are in memory now."""
+    """Tracks the bytes of request bodies that are buffered at the moment."""
 
-    __slots__ = ('_limit', 'taken')
+    __slots__ = ('_limit', 'used_bytes')
 
     def __init__(self, limit: int = MAX_BODIES_BYTES) -> None:
-        """Start empty."""
+        """Start with nothing buffered."""
         self._limit = limit
-        self.taken = 0
+        self.used_bytes = 0
 
     @asynccontextmanager
     async def read_body(
         self, channel: Channel, max_bytes: int | None
     ) -> AsyncIterator[bytes]:
-        """Yield a whole body, and give its room back in the end.
+        """Read and yield a whole body; release its share of the budget on exit.
 
-        Room is taken as bytes arrive; who finds none is refused, before the
-        platform ends the process for its memory.
+        Bytes count against the budget as they arrive. A request that exceeds
+        it is refused, before the platform kills the process for its memory
+        use.
 
         Raises:
-            BodyTooLongError: the body is above the limit for one.
-            BufferBudgetExceededError: the bodies in memory leave no room.
+            BodyTooLongError: the body exceeds ``max_bytes``.
+            BufferBudgetExceededError: all buffered bodies exceed the budget.
         """
         chunks: list[bytes] = []
         size = 0
@@ -44,15 +45,15 @@
                     break
                 chunk = bytes(event.data)
                 size += len(chunk)
-                self.taken += len(chunk)
+                self.used_bytes += len(chunk)
                 self._check(size, max_bytes)
                 chunks.append(chunk)
             yield b''.join(chunks)
         finally:
-            self.taken -= size
+            self.used_bytes -= size
 
     def _check(self, size: int, max_bytes: int | None) -> None:
         if max_bytes is not None and size > max_bytes:
-            raise BodyTooLongError('Body too long.')
-        if self.taken > self._limit:
-            raise BufferBudgetExceededError('No room for another body.')
+            raise BodyTooLongError('Request body exceeds the size limit.')
+        if self.used_bytes > self._limit:
+            raise BufferBudgetExceededError('Buffer budget used up.')
--- a/plantaingrade/requests/const.py
+++ b/plantaingrade/requests/const.py
@@ -1,38 +1,38 @@
-"""Times and limits of the request path; times in seconds."""
+"""Timeouts and limits of the request path; times in seconds."""
 
-# A server answers 504 by itself at the deadline it was given; its answer is
-# waited for a little beyond.
+# A server responds with 504 by itself at the deadline it was given; wait a
+# little longer for that response.
 SERVER_GRACE_S = 0.03
-# Another process answers at the deadline, and its answer crosses the network.
+# Another process responds at the deadline, and its response has to cross the
+# network.
 PEER_GRACE_S = 0.08
-# A connection to the server that idled longer is not used for work that may
-# run once only: the server may have forgotten it, and a reset then leaves
-# open whether the request ran. A new connection takes 1 ms.
-ONCE_IDLE_S = 0.2
-# What the network between a caller and this instance takes of an objective:
-# callers are about 8 ms away each way, and a new connection asks that once
-# more.
+# A connection to the server that was idle for longer is not used for requests
+# that are not idempotent: the server may have dropped it, and after a reset
+# it is unknown whether the request ran. A new connection takes 1 ms.
+MAX_IDLE_ONCE_S = 0.2
+# Part of the latency objective spent on the network between a caller and this
+# instance: about 8 ms each way, and another round trip for a new connection.
 CALLER_NETWORK_S = 0.02
-# Pause before another process or the same server is tried once more.
+# Pause before a retry at another process or at the same server.
 RETRY_PAUSE_S = 0.02
-# Time that a process waits for a newer map that a request speaks of: a read of
-# the store, with room.
-CATCH_UP_S = 0.25
-# Pause between looks at keys that are on the move, if no change is told: a
-# quarter of the time for which a request waits for them.
-HOLD_LOOK_S = 0.1
-# Time below which no further try is made: half the shortest work.
+# Time that a process waits for the newer map that a request refers to: one read
+# of the store, with a margin.
+MAP_WAIT_S = 0.25
+# Polling interval for keys that are being transferred, in case no change is
+# notified: a quarter of the time for which a request waits for them.
+HOLD_POLL_S = 0.1
+# No further try is made with less time left: half the shortest work time.
 MIN_TRY_S = 0.02
-# Whole answers and bodies are kept in memory up to this size.
+# Attempts for one request, the first included.
 MAX_TRIES = 4
-# An answer that belongs to another request is skipped this many times.
+# Number of responses to other requests that are skipped on a connection.
 MAX_SKIPPED_ANSWERS = 2
-# Retry-After where nothing better is known.
+# Retry-After if there is no better estimate.
 DEFAULT_RETRY_AFTER_S = 0.1
-# Retry-After while the owner of a key cannot be reached: a process that was
-# killed is back within a second, and is tried once in this time.
+# Retry-After while the owner of a key is unreachable: a process that was killed
+# is back within a second, and is tried once in this interval.
 UNREACHABLE_RETRY_AFTER_S = 0.5
-# Memory that request bodies may take together, of 200 MB on small instances.
+# Memory for all buffered request bodies, of 200 MB on small instances.
 MAX_BODIES_BYTES = 67_108_864
 
 STATUS_BAD_REQUEST = 400
--- a/plantaingrade/requests/coordinator.py
+++ b/plantaingrade/requests/coordinator.py
@@ -1,4 +1,4 @@
-"""Serve the requests that begin on this instance."""
+"""Serve the requests that callers send to this instance."""
 
 import asyncio
 from collections.abc import Callable
@@ -31,11 +31,11 @@
 from plantaingrade.requests.peer_path import PeerPath
 from plantaingrade.requests.server_path import ServerPath
 from plantaingrade.requests.targets import TargetChooser
-from plantaingrade.requests.usual_deadlines import Patience
+from plantaingrade.requests.usual_deadlines import UsualDeadlines
 
-# Refusals of a process that never reached a server: they cost the server
-# nothing, so they draw on no budget.
-FREE_REASONS = frozenset(
+# Refusals by a process before the request reached a server. They cost the
+# server nothing, so retries after them do not use the retry budget.
+UNBUDGETED_REASONS = frozenset(
     (
         NotRunReason.NOT_OWNER,
         NotRunReason.OTHER_SERVICE,
@@ -47,8 +47,8 @@
         NotRunReason.CONNECT_FAILED,
     )
 )
-# Refusals that tell that a server takes no work for a while.
-AWAY_REASONS = frozenset(
+# Refusals after which a server accepts no work for a while.
+UNAVAILABLE_REASONS = frozenset(
     (
         NotRunReason.SERVER_DOWN,
         NotRunReason.DRAINING,
@@ -56,22 +56,22 @@
         NotRunReason.OTHER_SERVICE,
     )
 )
-# Refusals of a server that has no room; nothing was sent to it, and another
-# server of a service without keys may have room.
-FULL_REASONS = frozenset((NotRunReason.QUEUE_FULL, NotRunReason.TOO_LATE))
-# Other servers that are asked after one was full. Each costs a hop, and in an
-# overload of the whole service nobody has room.
+# Refusals because a server has no free capacity. Nothing was sent to it, and
+# for a service without keys another server may have free capacity.
+OVERLOAD_REASONS = frozenset((NotRunReason.QUEUE_FULL, NotRunReason.TOO_LATE))
+# Other servers tried after one was full. Each try costs a hop, and if the whole
+# service is overloaded, no server has free capacity.
 MAX_SPILLOVERS = 1
-# Refusals after which another process, or the same one, may do better.
-RETRY_REASONS = FREE_REASONS | {NotRunReason.SERVER_REFUSED}
+# Refusals after which a retry at another or the same process may succeed.
+RETRYABLE_REASONS = UNBUDGETED_REASONS | {NotRunReason.SERVER_REFUSED}
 
 
 class NoRoute(Struct, frozen=True):
-    """The configuration in force has no route for the request."""
+    """The active configuration has no route for the request."""
 
 
-class Progress(Struct):
-    """What has been tried for one request."""
+class RequestProgress(Struct):
+    """Attempts made so far for one request."""
 
     routed: RoutedRequest
     tries: int = 0
@@ -79,15 +79,15 @@
     tried: set[str] = field(default_factory=set)
     hint: str = ''
     path: list[str] = field(default_factory=list)
-    asked: str = ''
+    last_asked: str = ''
     map_version: int = 0
-    spills: int = 0
+    spillovers: int = 0
     unknown: Unknown | None = None
     next_member: Member | None = None
 
 
 class RequestCoordinator:
-    """Route requests, try again what may be, and say what came of them."""
+    """Routes requests, retries them where it is safe, and reports outcomes."""
 
     __slots__ = (
         '_budget',
@@ -96,7 +96,7 @@
         '_log',
         '_on_done',
         '_own',
-        '_patience',
+        '_usual_deadlines',
         '_peers',
         '_server',
         '_service',
@@ -115,20 +115,20 @@
         log: EventLog,
         on_done: Callable[[RoutedRequest, Outcome, float], None],
     ) -> None:
-        """Join the paths of one process."""
+        """Combine the request paths of one process."""
         self._own = own
         self._config = config
         self._targets = targets
         self._server = server
         self._peers = peers
         self._budget = budget
-        self._patience = Patience()
+        self._usual_deadlines = UsualDeadlines()
         self._clock = clock
         self._log = log
         self._on_done = on_done
 
     async def async_serve(self, caller: CallerRequest) -> Outcome | NoRoute:
-        """Return what became of a request of a caller on this instance."""
+        """Serve a request that a caller sent to this instance."""
         if self._config.routes is None:
             return NotRun(NotRunReason.NO_CONFIG, DEFAULT_RETRY_AFTER_S)
         routed = self._route(caller)
@@ -136,10 +136,10 @@
             self._log.write('no-route', id=caller.request_id.decode())
             return NoRoute()
         self._budget.on_request(
-            routed.service, self._targets.count(), caller.arrived
+            routed.service, self._targets.count_members(), caller.arrived
         )
-        progress = Progress(routed)
-        outcome = await self._async_try_all(progress)
+        progress = RequestProgress(routed)
+        outcome = await self._async_serve_with_retries(progress)
         self._report(progress, outcome)
         return outcome
 
@@ -151,7 +151,7 @@
         if route is None:
             return None
         deadline_ms = round((caller.deadline - caller.arrived) * MS_PER_S)
-        spent_s = self._patience.waited_s(route.name, deadline_ms)
+        spent_s = self._usual_deadlines.waited_s(route.name, deadline_ms)
         spent_s += CALLER_NETWORK_S
         return RoutedRequest(
             caller=caller,
@@ -163,7 +163,9 @@
             due=caller.arrived + route.objective_s - spent_s,
         )
 
-    async def _async_try_all(self, progress: Progress) -> Outcome:
+    async def _async_serve_with_retries(
+        self, progress: RequestProgress
+    ) -> Outcome:
         while True:
             outcome = await self._async_try(progress)
             if isinstance(outcome, Answered):
@@ -171,30 +173,36 @@
             progress.path.append(outcome.reason.value)
             if isinstance(outcome, Unknown):
                 progress.unknown = outcome
-            if not await self._async_may_try_again(progress, outcome):
-                # One open try leaves the whole request open: it may have run
-                # there, whatever came of its repeat.
+            if not await self._async_should_retry(progress, outcome):
+                # An attempt with an unknown outcome makes the whole request's
+                # outcome unknown, whatever the outcome of its retries.
                 return progress.unknown or outcome
             if isinstance(outcome, NotRun) and outcome.owner:
                 progress.hint = outcome.owner
-                self._learn(progress, outcome)
+                self._request_newer_map(progress, outcome)
             else:
                 progress.hint = ''
-                await self._async_pause(progress)
+                await self._async_pause_before_retry(progress)
 
-    def _learn(self, progress: Progress, refusal: NotRun) -> None:
-        """Ask for a newer map where a redirect shows that there is one."""
+    def _request_newer_map(
+        self, progress: RequestProgress, refusal: NotRun
+    ) -> None:
+        """Request a newer map if a redirect refers to one."""
         known = self._targets.map_version(progress.routed.service)
         progress.map_version = max(known, refusal.map_version)
         if refusal.map_version > known:
-            self._targets.learn_from(progress.routed.service, progress.asked)
+            self._targets.request_map(
+                progress.routed.service, progress.last_asked
+            )
 
-    async def _async_pause(self, progress: Progress) -> None:
-        """Wait before the same process is asked again, not before another."""
+    async def _async_pause_before_retry(
+        self, progress: RequestProgress
+    ) -> None:
+        """Pause before a retry at the same process, but not at another one."""
         if self._targets.is_keyed(progress.routed.service):
             await asyncio.sleep(RETRY_PAUSE_S)
 
-    async def _async_try(self, progress: Progress) -> Outcome:
+    async def _async_try(self, progress: RequestProgress) -> Outcome:
         routed = progress.routed
         if routed.until - self._clock.now() < MIN_TRY_S:
             return NotRun(NotRunReason.EXPIRED, DEFAULT_RETRY_AFTER_S)
@@ -211,14 +219,19 @@
         progress.path.append(member.name)
         if not self._targets.is_keyed(routed.service):
             progress.tried.add(member.name)
-        progress.asked = member.name
-        outcome = await self._async_ask(progress, member)
-        self._targets.note_outcome(member, outcome)
-        if isinstance(outcome, NotRun) and outcome.reason in AWAY_REASONS:
+        progress.last_asked = member.name
+        outcome = await self._async_send(progress, member)
+        self._targets.record_outcome(member, outcome)
+        if (
+            isinstance(outcome, NotRun)
+            and outcome.reason in UNAVAILABLE_REASONS
+        ):
             self._targets.avoid(member)
         return outcome
 
-    async def _async_ask(self, progress: Progress, member: Member) -> Outcome:
+    async def _async_send(
+        self, progress: RequestProgress, member: Member
+    ) -> Outcome:
         routed = progress.routed
         if (
             member.name == self._own.name
@@ -229,40 +242,42 @@
             routed, member, progress.map_version
         )
 
-    async def _async_may_try_again(
-        self, progress: Progress, outcome: NotRun | Unknown
+    async def _async_should_retry(
+        self, progress: RequestProgress, outcome: NotRun | Unknown
     ) -> bool:
         left_s = progress.routed.until - self._clock.now()
         if progress.tries >= MAX_TRIES or left_s < MIN_TRY_S + RETRY_PAUSE_S:
             return False
         match outcome:
             case NotRun(reason=reason):
-                if reason in FULL_REASONS:
-                    return await self._async_may_spill(progress)
-                if reason not in RETRY_REASONS:
+                if reason in OVERLOAD_REASONS:
+                    return await self._async_choose_spillover(progress)
+                if reason not in RETRYABLE_REASONS:
                     return False
-                return reason in FREE_REASONS or self._may_spend(progress)
+                return reason in UNBUDGETED_REASONS or self._try_spend(progress)
             case Unknown():
                 if not progress.routed.is_idempotent:
                     return False
-                return self._may_spend(progress)
+                return self._try_spend(progress)
 
-    async def _async_may_spill(self, progress: Progress) -> bool:
-        """Tell whether another server may have room, and choose it."""
+    async def _async_choose_spillover(self, progress: RequestProgress) -> bool:
+        """Choose another server; return whether there is a candidate."""
         service = progress.routed.service
-        if progress.spills >= MAX_SPILLOVERS or self._targets.is_keyed(service):
+        if progress.spillovers >= MAX_SPILLOVERS or self._targets.is_keyed(
+            service
+        ):
             return False
-        progress.spills += 1
+        progress.spillovers += 1
         progress.next_member = await self._targets.async_choose_other(
             progress.routed, progress.tried
         )
         return progress.next_member is not None
 
-    def _may_spend(self, progress: Progress) -> bool:
+    def _try_spend(self, progress: RequestProgress) -> bool:
         routed = progress.routed
         return self._budget.try_spend(routed.service, routed.priority)
 
-    def _report(self, progress: Progress, outcome: Outcome) -> None:
+    def _report(self, progress: RequestProgress, outcome: Outcome) -> None:
         routed = progress.routed
         took_s = self._clock.now() - routed.caller.arrived
         self._on_done(routed, outcome, took_s)
--- a/plantaingrade/requests/crashes.py
+++ b/plantaingrade/requests/crashes.py
@@ -1,60 +1,65 @@
-"""Tell which requests were at the own server when it crashed. Pure.
+"""Detect crashes of the own server and what it was running then. Pure.
 
-A connection that breaks is no crash: an answer can be lost, or spoilt, with
-the server well. A crash breaks all that runs at once, and nothing listens
-afterwards until another life of the server begins.
+A broken connection alone is no crash: a response can be lost or corrupted
+while the server is healthy. A crash breaks all running requests at once, and
+nothing listens afterwards until the next incarnation of the server starts.
 """
 
 from plantaingrade.requests.suspects import Suspects
 
-# What breaks within this time broke together, in seconds: the resets of one
-# crash arrive within milliseconds, and the process reads them in turn.
-TOGETHER_S = 0.2
-# A server that nothing was sent to after its crash is known to be down by its
-# next life: platforms start one within seconds.
-UNTIL_DOWN_S = 10.0
+# Connections that break within this time belong to the same crash, in seconds:
+# its resets arrive within milliseconds, and the process reads them in turn.
+SAME_CRASH_S = 0.2
+# Longest time from the resets to the detection, in seconds. If nothing is sent
+# to the server after its crash, only its next incarnation shows that it was
+# down, and platforms start one within seconds.
+MAX_DETECTION_DELAY_S = 10.0
 
 
-class CrashWatch:
-    """Follow what runs at the own server, and what broke last."""
+class CrashDetector:
+    """Tracks the own server's running requests and the last broken ones."""
 
     __slots__ = ('_broken', '_broken_at', '_running', 'suspects')
 
     def __init__(self, suspects: Suspects) -> None:
-        """Know of nothing that runs; requests answered are not suspected."""
+        """Start with no running requests.
+
+        Answered requests are reported to ``suspects`` as cleared.
+        """
         self.suspects = suspects
         self._running: list[str] = []
         self._broken: list[str] = []
         self._broken_at = 0.0
 
     def on_sent(self, digest: str) -> None:
-        """Note a request that the server has been sent."""
+        """Record a request that was sent to the server."""
         self._running.append(digest)
 
     def on_answered(self, digest: str, now: float) -> None:
-        """Note an answer: the server is up, whatever broke before."""
+        """Record a response, which shows that earlier breaks were no crash."""
         self._running.remove(digest)
         self._broken.clear()
-        self.suspects.note_answered(digest, now)
+        self.suspects.add_answer(digest, now)
 
-    def on_ended(self, digest: str) -> None:
-        """Note a request that tells nothing of the server."""
+    def on_inconclusive(self, digest: str) -> None:
+        """Record a request whose end says nothing about the server."""
         self._running.remove(digest)
 
     def on_broken(self, digest: str, now: float) -> None:
-        """Note a request whose connection broke off."""
+        """Record a request whose connection broke."""
         self._running.remove(digest)
-        if now - self._broken_at > TOGETHER_S:
+        if now - self._broken_at > SAME_CRASH_S:
             self._broken.clear()
         self._broken.append(digest)
         self._broken_at = now
 
     def on_down(self, now: float) -> tuple[str, ...]:
-        """Return what a crash took along, now that nothing listens.
+        """Return the requests that broke in a crash, once nothing listens.
 
-        What still runs shows that the server is there, and too busy.
+        If requests are still running, the server is up and only too busy to
+        accept connections.
         """
-        is_recent = now - self._broken_at <= UNTIL_DOWN_S
+        is_recent = now - self._broken_at <= MAX_DETECTION_DELAY_S
         digests = () if self._running or not is_recent else tuple(self._broken)
         self._broken.clear()
         return digests
--- a/plantaingrade/requests/entity.py
+++ b/plantaingrade/requests/entity.py
@@ -1,6 +1,6 @@
-"""Typed requests, answers and outcomes.
+"""Typed requests, responses and outcomes.
 
-Points in time are readings of the boot clock of this instance, in seconds.
+Points in time are readings of this instance's boot clock, in seconds.
 """
 
 from enum import StrEnum
@@ -11,7 +11,7 @@
 
 
 class NotRunReason(StrEnum):
-    """Why a request was certainly not run."""
+    """Why a request was definitely not run."""
 
     NO_CONFIG = 'no-config'
     NO_SERVER = 'no-server'
@@ -35,7 +35,7 @@
 
 
 class UnknownReason(StrEnum):
-    """Why nobody can tell whether a request was run."""
+    """Why it is unknown whether a request was run."""
 
     BROKEN = 'connection-broken'
     PEER_BROKEN = 'connection-to-process-broken'
@@ -45,11 +45,11 @@
 
 
 class CallerRequest(Struct, frozen=True):
-    """One attempt of a caller, as it came in.
+    """One attempt of a caller, as received.
 
-    ``key`` is the key whose owner must run it, if it names one; ``headers``
-    are those that go on unchanged; ``deadline`` is when its caller stops
-    waiting.
+    ``key`` is the key whose owner must run the request, if it names one;
+    ``headers`` are the headers that are forwarded unchanged; ``deadline`` is
+    when the caller stops waiting.
     """
 
     request_id: bytes
@@ -64,10 +64,10 @@
 
 
 class RoutedRequest(Struct, frozen=True):
-    """A request together with what its route says.
+    """A request together with the settings of its route.
 
-    ``until`` is when it must have its final answer at the latest: the
-    caller's deadline or the route's timeout. ``due`` is the end of its
+    ``until`` is the latest time for its final response: the caller's deadline
+    or the route's timeout, whichever is earlier. ``due`` is the end of its
     latency objective.
     """
 
@@ -81,12 +81,12 @@
 
     @property
     def kind(self) -> str:
-        """Return the class whose requests take about the same time."""
+        """Return the request class, whose requests take about the same time."""
         return f'{self.priority}{"i" if self.is_idempotent else "o"}'
 
 
 class Answer(Struct, frozen=True):
-    """Whole answer of a backend server, to be passed on unchanged."""
+    """Complete response of a backend server, forwarded unchanged."""
 
     status: int
     headers: Headers
@@ -94,7 +94,7 @@
 
 
 class Answered(Struct, frozen=True):
-    """A backend server answered."""
+    """A backend server responded."""
 
     answer: Answer
 
@@ -102,8 +102,8 @@
 class NotRun(Struct, frozen=True):
     """The request has not run and never will.
 
-    ``retry_after_s`` is when it would probably be served. ``owner`` names the
-    member that owns the key by the map that the refusing process has, and
+    ``retry_after_s`` is the time after which a retry would probably be served.
+    ``owner`` is the owner of the key in the refusing process's map, and
     ``map_version`` the version of that map.
     """
 
@@ -114,7 +114,7 @@
 
 
 class Unknown(Struct, frozen=True):
-    """The request may have run, or may still be running."""
+    """The request may have run or may still be running."""
 
     reason: UnknownReason
 
@@ -123,10 +123,10 @@
 
 
 class ServerLoad(Struct, frozen=True):
-    """What a backend server says of its slots.
+    """Load that a backend server reports.
 
-    ``pace`` is how long work takes there at this moment, 1 on a machine
-    without other work, or nothing where the server does not tell.
+    ``pace`` is the current work time relative to a machine without other
+    work, where it is 1; None if the server does not report it.
     """
 
     running: int
@@ -136,10 +136,11 @@
 
 
 class ServerReply(Struct, frozen=True):
-    """Head of an answer of a backend server, decoded.
+    """Decoded head of a response of a backend server.
 
-    ``request_id`` and ``instance`` are empty where the server sent none.
-    ``is_not_run`` is its promise that it did not run the request.
+    ``request_id`` and ``instance`` are empty if the server sent none.
+    ``is_not_run`` is set if the server guarantees that it did not run the
+    request. ``closes`` is set if the server closes the connection.
     """
 
     status: int
--- a/plantaingrade/requests/errors.py
+++ b/plantaingrade/requests/errors.py
@@ -1,21 +1,21 @@
-"""Errors of requests that cannot be taken."""
+"""Errors for requests that cannot be accepted."""
 
 from plantaingrade.errors import PlantaingradeError
 
 
 class MalformedRequestError(PlantaingradeError):
-    """Report a header of a caller that cannot be used."""
+    """A header of a caller's request is malformed."""
 
-    advice = 'Send the headers in the form that the platform documents.'
+    advice = 'Send the headers in the format that the platform documents.'
 
 
 class BodyTooLongError(PlantaingradeError):
-    """Report a body above what the operator allows."""
+    """A request body exceeds the limit set by the operator."""
 
-    advice = 'Send less, or ask the operator for a higher limit.'
+    advice = 'Send a smaller body, or ask the operator for a higher limit.'
 
 
 class BufferBudgetExceededError(PlantaingradeError):
-    """Report that the bodies in memory leave no room for another."""
+    """The buffered bodies leave no memory for another one."""
 
-    advice = 'Come back when others have been served.'
+    advice = 'Retry after other requests have finished.'
--- a/plantaingrade/requests/failures.py
+++ b/plantaingrade/requests/failures.py
@@ -1,7 +1,8 @@
-"""How often each member's server has failed requests lately. Pure.
+"""Recent failure rates of the members' servers. Pure.
 
-Load that answers: a server fails part of its requests while its health check
-is good. Its heartbeats and its load tell nothing; only its answers do.
+Failure that this answers to: a server fails part of its requests while its
+health check passes. Neither its heartbeats nor its load show this; only its
+responses do.
 """
 
 from plantaingrade.requests.entity import (
@@ -12,27 +13,27 @@
     Unknown,
 )
 
-# Weight of one outcome: a server that begins to fail half of its requests is
-# over a fifth after six of them.
+# Weight of one outcome. The rate of a server that starts to fail half of its
+# requests exceeds one fifth after six of them.
 SMOOTHING = 0.1
-# Without requests a rate halves in this time, in seconds, so that a server
-# that was passed over is tried again.
+# Half-life of a rate without requests, in seconds, so that a server that was
+# skipped for its failures is tried again.
 HALF_LIFE_S = 2.0
 STATUS_SERVER_ERROR = 500
 
 
 class FailureRates:
-    """Smoothed share of failed requests by member."""
+    """Smoothed share of failed requests for each member."""
 
     __slots__ = ('_rate_by_member', '_seen_at')
 
     def __init__(self) -> None:
-        """Know no failures."""
+        """Start without any failures."""
         self._rate_by_member: dict[str, float] = {}
         self._seen_at: dict[str, float] = {}
 
     def observe(self, member: str, outcome: Outcome, now: float) -> None:
-        """Count an outcome of a request that a server was asked to run."""
+        """Record the outcome of a request, if a server was asked to run it."""
         failed = is_failure(outcome)
         if failed is None:
             return
@@ -41,14 +42,14 @@
         self._seen_at[member] = now
 
     def rate(self, member: str, now: float) -> float:
-        """Return the share of requests that failed lately."""
+        """Return a member's recent share of failed requests."""
         idle_s = now - self._seen_at.get(member, now)
         rate = self._rate_by_member.get(member, 0.0)
         return rate * 2 ** (-idle_s / HALF_LIFE_S)
 
 
 def is_failure(outcome: Outcome) -> bool | None:
-    """Tell whether a server failed; nothing if it was not asked."""
+    """Return whether a server failed, or None if it was not asked."""
     match outcome:
         case Answered(answer):
             return answer.status >= STATUS_SERVER_ERROR
--- a/plantaingrade/requests/hop.py
+++ b/plantaingrade/requests/hop.py
@@ -1,7 +1,7 @@
-"""Requests and answers between two processes, as small as HTTP allows.
+"""Encode requests and responses between two processes compactly in HTTP.
 
-Bytes between availability zones are the dearest thing a request uses, so
-names are one letter long and figures share one header.
+Traffic between availability zones is the most expensive resource that a
+request uses, so header names have one letter and values share one header.
 """
 
 from msgspec import Struct
@@ -23,28 +23,28 @@
     UnknownReason,
 )
 
-NAME_ID = b'a'
-NAME_FACTS = b'q'
-NAME_OUTCOME = b'o'
-NAME_RETRY_AFTER = b'r'
-NAME_OWNER = b'w'
-NAME_LOAD = b'l'
+HEADER_ID = b'a'
+HEADER_FIELDS = b'q'
+HEADER_OUTCOME = b'o'
+HEADER_RETRY_AFTER = b'r'
+HEADER_OWNER = b'w'
+HEADER_LOAD = b'l'
 MARK_IDEMPOTENT = 'i'
 MARK_ONCE = 'o'
 MARK_NOT_RUN = 'n'
 MARK_UNKNOWN = 'u'
 NO_KEY = ''
-FACT_COUNT = 10
+FIELD_COUNT = 10
 LOAD_COUNT = 3
 STATUS_FAILED = 503
-OWN_NAMES = frozenset(
+HOP_HEADERS = frozenset(
     (
-        NAME_ID,
-        NAME_FACTS,
-        NAME_OUTCOME,
-        NAME_RETRY_AFTER,
-        NAME_OWNER,
-        NAME_LOAD,
+        HEADER_ID,
+        HEADER_FIELDS,
+        HEADER_OUTCOME,
+        HEADER_RETRY_AFTER,
+        HEADER_OWNER,
+        HEADER_LOAD,
         b'host',
         b'content-length',
         b'transfer-encoding',
@@ -54,15 +54,16 @@
 
 
 class MalformedHopError(PlantaingradeError):
-    """Report a request of another process that is not understood."""
+    """A request of another process is malformed."""
 
-    advice = 'The other process runs another version.'
+    advice = 'Check whether the other process runs another version.'
 
 
 class KnownVersions(Struct, frozen=True):
-    """Versions that the sender of a request goes by.
+    """Versions of configuration and key map that a sender uses.
 
-    A receiver that is behind learns so from any request that reaches it.
+    A receiver with older versions learns from any request that there are newer
+    ones.
     """
 
     config: int
@@ -74,10 +75,11 @@
 ) -> Headers:
     """Return the headers of a request to another process.
 
-    Times travel as milliseconds left, since clocks of instances differ.
+    Times are sent as remaining milliseconds, since the clocks of instances
+    differ.
     """
     caller = routed.caller
-    facts = ','.join(
+    fields = ','.join(
         (
             str(_ms(caller.deadline - now)),
             str(_ms(routed.until - now)),
@@ -93,8 +95,8 @@
     )
     headers = [
         (b'host', caller.host),
-        (NAME_ID, caller.request_id),
-        (NAME_FACTS, facts.encode()),
+        (HEADER_ID, caller.request_id),
+        (HEADER_FIELDS, fields.encode()),
         *caller.headers,
     ]
     if caller.body:
@@ -106,31 +108,31 @@
 def decode_hop(
     raw: Request, body: bytes, now: float
 ) -> tuple[RoutedRequest, KnownVersions]:
-    """Return the request that another process sent, and what it went by.
+    """Return the request that another process sent, and the sender's versions.
 
     Raises:
-        MalformedHopError: the facts of the request are not understood.
+        MalformedHopError: the header with the request's fields is malformed.
     """
     pairs = raw.headers
     text_by_name = dict(pairs)
-    facts = text_by_name.get(NAME_FACTS, b'').decode('ascii', 'replace')
-    parts = facts.split(',')
-    if len(parts) != FACT_COUNT:
-        raise MalformedHopError('Request of a process not understood.')
+    fields = text_by_name.get(HEADER_FIELDS, b'').decode('ascii', 'replace')
+    parts = fields.split(',')
+    if len(parts) != FIELD_COUNT:
+        raise MalformedHopError('Wrong number of request fields.')
     try:
         left_s, until_s, due_s = (int(part) / MS_PER_S for part in parts[:3])
         priority = int(parts[3])
         key = int(parts[5]) if parts[5] else None
         known = KnownVersions(int(parts[8]), int(parts[9]))
     except ValueError as error:
-        raise MalformedHopError('Request of a process has no times.') from error
+        raise MalformedHopError('Request field is not a number.') from error
     caller = CallerRequest(
-        request_id=text_by_name.get(NAME_ID, b''),
+        request_id=text_by_name.get(HEADER_ID, b''),
         method=raw.method,
         target=raw.target,
         host=text_by_name.get(b'host', b''),
         key=key,
-        headers=_others(pairs),
+        headers=_end_to_end_headers(pairs),
         body=body,
         arrived=now,
         deadline=now + left_s,
@@ -148,14 +150,14 @@
 
 
 def encode_load(load: Load) -> tuple[bytes, bytes]:
-    """Return the header that tells the load of the process that answers."""
+    """Return the header that reports the load of the responding process."""
     share = int(load.share * PERCENT)
-    return NAME_LOAD, f'{share},{_ms(load.work_s)},{load.slots}'.encode()
+    return HEADER_LOAD, f'{share},{_ms(load.work_s)},{load.slots}'.encode()
 
 
 def decode_load(headers: Headers) -> Load | None:
-    """Return the load that an answer tells, if it does."""
-    text = dict(headers).get(NAME_LOAD)
+    """Return the load reported in a response, or None without a valid one."""
+    text = dict(headers).get(HEADER_LOAD)
     if text is None:
         return None
     try:
@@ -166,38 +168,40 @@
 
 
 def encode_outcome(outcome: Outcome) -> Answer:
-    """Return what one process answers another."""
+    """Return the response to another process for an outcome."""
     match outcome:
         case Answered(answer):
             return answer
         case NotRun(reason, retry_after_s, owner, map_version):
             headers = [
-                (NAME_OUTCOME, f'{MARK_NOT_RUN}{reason.value}'.encode()),
-                (NAME_RETRY_AFTER, str(_ms(retry_after_s)).encode()),
+                (HEADER_OUTCOME, f'{MARK_NOT_RUN}{reason.value}'.encode()),
+                (HEADER_RETRY_AFTER, str(_ms(retry_after_s)).encode()),
             ]
             if owner:
-                told = f'{map_version},{owner}'
-                headers.append((NAME_OWNER, told.encode()))
+                owner_text = f'{map_version},{owner}'
+                headers.append((HEADER_OWNER, owner_text.encode()))
             return Answer(STATUS_FAILED, tuple(headers), b'')
         case Unknown(reason):
             mark = f'{MARK_UNKNOWN}{reason.value}'.encode()
-            return Answer(STATUS_FAILED, ((NAME_OUTCOME, mark),), b'')
+            return Answer(STATUS_FAILED, ((HEADER_OUTCOME, mark),), b'')
 
 
 def decode_outcome(answer: Answer) -> Outcome:
-    """Return the outcome that another process answered."""
+    """Return the outcome that a response of another process reports."""
     text_by_name = dict(answer.headers)
-    mark = text_by_name.get(NAME_OUTCOME, b'').decode('ascii', 'replace')
+    mark = text_by_name.get(HEADER_OUTCOME, b'').decode('ascii', 'replace')
     if not mark:
         return Answered(
-            Answer(answer.status, _others(answer.headers), answer.body)
+            Answer(
+                answer.status, _end_to_end_headers(answer.headers), answer.body
+            )
         )
     reason = mark[1:]
     if not mark.startswith(MARK_NOT_RUN):
         return Unknown(_unknown_reason(reason))
-    after = text_by_name.get(NAME_RETRY_AFTER, b'0')
-    told = text_by_name.get(NAME_OWNER, b'').decode('ascii', 'replace')
-    version, _, owner = told.partition(',')
+    after = text_by_name.get(HEADER_RETRY_AFTER, b'0')
+    owner_text = text_by_name.get(HEADER_OWNER, b'').decode('ascii', 'replace')
+    version, _, owner = owner_text.partition(',')
     return NotRun(
         _not_run_reason(reason),
         int(after) / MS_PER_S if after.isdigit() else 0.0,
@@ -206,9 +210,9 @@
     )
 
 
-def _others(headers: Headers) -> Headers:
+def _end_to_end_headers(headers: Headers) -> Headers:
     return tuple(
-        (name, text) for name, text in headers if name not in OWN_NAMES
+        (name, text) for name, text in headers if name not in HOP_HEADERS
     )
 
 
--- a/plantaingrade/requests/peer_path.py
+++ b/plantaingrade/requests/peer_path.py
@@ -1,4 +1,4 @@
-"""Have a request served by another process."""
+"""Forward requests to other processes."""
 
 import asyncio
 from collections.abc import Callable
@@ -35,7 +35,7 @@
 
 
 class PeerPath:
-    """Send requests to the process beside another server."""
+    """Forwards requests to the processes of other servers."""
 
     __slots__ = (
         '_clock',
@@ -57,7 +57,7 @@
     ) -> None:
         """Use a pool of connections to other processes.
 
-        ``known`` tells the versions that this process goes by for a service.
+        ``known`` returns the versions that this process uses for a service.
         """
         self._log = log
         self._loads = loads
@@ -69,9 +69,9 @@
     async def async_serve(
         self, routed: RoutedRequest, member: Member, map_version: int = 0
     ) -> Outcome:
-        """Return what became of a request at another process.
+        """Forward a request to another process and return its outcome.
 
-        ``map_version`` is the newest that a redirect spoke of.
+        ``map_version`` is the newest version that a redirect referred to.
         """
         known = self._known(routed.service)
         known = replace(known, key_map=max(known.key_map, map_version))
@@ -80,7 +80,7 @@
             async with asyncio.timeout(left_s + PEER_GRACE_S):
                 outcome = await self._async_exchange(routed, member, known)
         except TimeoutError:
-            self._note_unreachable(member, 'no answer')
+            self._mark_unreachable(member, 'no answer')
             return Unknown(UnknownReason.TIMEOUT)
         return outcome
 
@@ -90,7 +90,7 @@
         try:
             channel = await self._pool.acquire(member.address)
         except ConnectFailedError:
-            self._note_unreachable(member, 'no connection')
+            self._mark_unreachable(member, 'no connection')
             return NotRun(NotRunReason.PEER_DOWN, DEFAULT_RETRY_AFTER_S)
         headers = encode_hop(routed, known, self._clock.now())
         caller = routed.caller
@@ -105,7 +105,7 @@
             whole = await read_answer(channel, lambda _: True)
         except ChannelClosedError:
             channel.abort()
-            self._note_unreachable(member, 'connection broken')
+            self._mark_unreachable(member, 'connection broken')
             return Unknown(UnknownReason.PEER_BROKEN)
         except BaseException:
             channel.abort()
@@ -121,10 +121,10 @@
             Answer(whole.head.status_code, headers, whole.body)
         )
 
-    def _note_unreachable(self, member: Member, why: str) -> None:
-        """Pass a member over, and trust none of its connections.
+    def _mark_unreachable(self, member: Member, why: str) -> None:
+        """Record that a member was not reached; close its idle connections.
 
-        What lies between may have forgotten all connections that were kept.
+        The network in between may have dropped all of them.
         """
         self._pool.forget(member.address)
         if self._directory.on_unreachable(member.name, self._clock.now()):
--- a/plantaingrade/requests/server_path.py
+++ b/plantaingrade/requests/server_path.py
@@ -1,4 +1,4 @@
-"""Have a request run by the backend server beside this process."""
+"""Run requests at the backend server of this process."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,15 +21,15 @@
 from plantaingrade.http.messages import Response
 from plantaingrade.http.pool import ConnectFailedError, Pool
 from plantaingrade.requests.const import (
-    CATCH_UP_S,
     DEFAULT_RETRY_AFTER_S,
-    HOLD_LOOK_S,
+    HOLD_POLL_S,
+    MAP_WAIT_S,
+    MAX_IDLE_ONCE_S,
     MAX_SKIPPED_ANSWERS,
     MIN_TRY_S,
-    ONCE_IDLE_S,
     SERVER_GRACE_S,
 )
-from plantaingrade.requests.crashes import CrashWatch
+from plantaingrade.requests.crashes import CrashDetector
 from plantaingrade.requests.entity import (
     Answer,
     Answered,
@@ -44,17 +44,18 @@
 from plantaingrade.requests.failures import FailureRates
 from plantaingrade.requests.suspects import Suspects, fingerprint
 
-# A server that was not reached is offered no work without a key for this long,
-# in seconds. It runs nothing, and would look like the one with most room.
+# A server that could not be reached gets no requests without a key for this
+# long, in seconds. As it runs nothing, it would otherwise seem to have the most
+# free capacity.
 UNREACHED_PAUSE_S = 0.5
-# Stands for no key where work is counted by key.
+# Placeholder for requests without a key where load is counted by key.
 NO_KEY = -1
 EncodeRequest = Callable[[RoutedRequest, str, float], list]
 DecodeReply = Callable[[Response], ServerReply]
 
 
 class ServerCodec(Struct, frozen=True):
-    """How requests to the server and its answers are written."""
+    """Address of the server, and the encoding of its requests and responses."""
 
     address: str
     encode: EncodeRequest
@@ -62,23 +63,24 @@
 
 
 class ServerHooks(Struct, frozen=True):
-    """What the path asks and tells.
-
-    ``is_keyed`` tells whether the server's service is divided by key, or
-    nothing while no configuration is known. ``on_other_life`` is told of an
-    unexpected id. ``observe`` is told of each key asked for here, or of
-    ``NO_KEY``, with the work that it brings. ``on_crash`` is told what ran at
-    the server when it crashed.
+    """Callbacks of the server path.
+
+    ``is_keyed`` returns whether the server's service is partitioned by key, or
+    None while no configuration is known. ``on_unexpected_incarnation`` receives
+    an unexpected instance id from a response. ``observe`` receives the key of
+    each request, or ``NO_KEY``, and its expected work in seconds. ``on_crash``
+    receives the fingerprints of the requests that ran at the server when it
+    crashed.
     """
 
     is_keyed: Callable[[], bool | None]
-    on_other_life: Callable[[str], None]
+    on_unexpected_incarnation: Callable[[str], None]
     observe: Callable[[int, float], None]
     on_crash: Callable[[tuple[str, ...]], None]
 
 
 class ServerPath:
-    """Serve requests at the own server, within its slots."""
+    """Runs requests at the own server, within the limit of its slots."""
 
     __slots__ = (
         '_clock',
@@ -91,7 +93,7 @@
         '_failures',
         '_pool',
         '_unreached_until',
-        '_wire',
+        '_codec',
         'is_closed',
         'is_drained',
         'is_evacuated',
@@ -99,7 +101,7 @@
 
     def __init__(
         self,
-        wire: ServerCodec,
+        codec: ServerCodec,
         life: BackendLife,
         holds: HoldCoordinator,
         gate: Gate,
@@ -108,17 +110,18 @@
         log: EventLog,
         hooks: ServerHooks,
     ) -> None:
-        """Join the parts."""
+        """Combine the components that requests to the server pass through."""
         self.is_closed = False
-        # By an operator; keys are still served until they have passed on.
+        # Set by an operator; requests with a key are still served until the
+        # keys have been transferred.
         self.is_drained = False
-        # By an operator; nothing is served, whoever owns the keys.
+        # Set by an operator; no requests are served, whoever owns the keys.
         self.is_evacuated = False
         self._hooks = hooks
-        self._crashes = CrashWatch(Suspects())
+        self._crashes = CrashDetector(Suspects())
         self._failures = FailureRates()
         self._unreached_until = 0.0
-        self._wire = wire
+        self._codec = codec
         self._life = life
         self._holds = holds
         self._gate = gate
@@ -127,7 +130,10 @@
         self._log = log
 
     def free_capacity(self, kind: str, priority: int) -> Room | None:
-        """Return how soon the server could run a request without a key."""
+        """Return how soon the server could run a request without a key.
+
+        Return None if it accepts none.
+        """
         is_closed = self.is_closed or self.is_evacuated or self.is_drained
         if is_closed or not self._life.takes_work:
             return None
@@ -142,52 +148,55 @@
         )
 
     def on_new_incarnation(self) -> None:
-        """Keep no connection to the life before.
+        """Close the connections to the previous incarnation of the server.
 
-        Nobody has closed them, and work sent on one of them may be lost.
+        They may still be open here, and requests sent on them may be lost.
         """
-        self._pool.forget(self._wire.address)
-        self._note_down()
+        self._pool.forget(self._codec.address)
+        self._report_crash()
 
     def record_crash(self, digests: tuple[str, ...]) -> None:
-        """Take what ran at a server when it crashed, here or elsewhere."""
-        self._crashes.suspects.note_crash(digests, self._clock.now())
+        """Record the requests that ran at a server when it crashed.
+
+        The crash may have been at this server or at another one.
+        """
+        self._crashes.suspects.add_crash(digests, self._clock.now())
 
     async def async_serve(
         self, routed: RoutedRequest, map_version: int = 0
     ) -> Outcome:
-        """Return what became of a request.
+        """Serve a request and return its outcome.
 
-        ``map_version`` is that of the map by which it was sent here.
+        ``map_version`` is the version of the map that its sender used.
         """
         arrived = self._clock.now()
         if self._needs_hold(routed):
-            await self._async_catch_up(map_version)
-        outcome = await self._async_decide(routed)
+            await self._async_wait_for_map(map_version)
+        outcome = await self._async_admit(routed)
         if not isinstance(outcome, Answered):
-            self._explain(routed, outcome, arrived)
+            self._log_not_served(routed, outcome, arrived)
         return outcome
 
-    async def _async_catch_up(self, map_version: int) -> None:
-        """Wait for the map by which a request was sent here.
+    async def _async_wait_for_map(self, map_version: int) -> None:
+        """Wait for the map version that the sender of a request used.
 
-        Else a request goes to and fro between giver and receiver until its
-        tries are spent.
+        Otherwise the previous and the new owner could redirect a request to
+        each other until its tries are used up.
         """
         if map_version <= self._holds.registry.key_map.version:
             return
         self._holds.on_hint(map_version)
-        ends = self._clock.now() + CATCH_UP_S
+        ends = self._clock.now() + MAP_WAIT_S
         while map_version > self._holds.registry.key_map.version:
             left_s = ends - self._clock.now()
             if left_s <= 0:
                 return
             await self._holds.async_wait_change(left_s)
 
-    def _explain(
+    def _log_not_served(
         self, routed: RoutedRequest, outcome: NotRun | Unknown, arrived: float
     ) -> None:
-        """Log what decided on a request that was not answered."""
+        """Log the state in which a request was not answered."""
         now = self._clock.now()
         queue = self._gate.queue
         key = routed.caller.key
@@ -219,12 +228,14 @@
             lease_left_s=round(self._holds.registry.lease_until - now, 2),
         )
 
-    async def _async_decide(self, routed: RoutedRequest) -> Outcome:
-        refusal = self._refuse_by_state(routed) or self._refuse_suspect(routed)
+    async def _async_admit(self, routed: RoutedRequest) -> Outcome:
+        refusal = self._refuse_by_state(routed) or self._refuse_quarantined(
+            routed
+        )
         if refusal is None and not self._needs_hold(routed):
-            self._observe(routed, NO_KEY)
+            self._record_demand(routed, NO_KEY)
         if refusal is None and self._needs_hold(routed):
-            refusal = await self._async_wait_hold(routed)
+            refusal = await self._async_wait_for_hold(routed)
         if refusal is not None:
             return refusal
         ticket = Ticket(routed.kind, routed.priority, routed.until, routed.due)
@@ -234,23 +245,25 @@
         except RefusedError as error:
             return error.outcome
 
-    def _refuse_suspect(self, routed: RoutedRequest) -> NotRun | None:
-        """Refuse a request that one server after the other crashed with."""
+    def _refuse_quarantined(self, routed: RoutedRequest) -> NotRun | None:
+        """Refuse a request that is quarantined for crashing servers."""
         suspects = self._crashes.suspects
         if suspects.is_empty:
             return None
-        left_s = suspects.left_s(fingerprint(routed), self._clock.now())
+        left_s = suspects.quarantine_left_s(
+            fingerprint(routed), self._clock.now()
+        )
         return NotRun(NotRunReason.CRASHES, left_s) if left_s else None
 
-    def _note_down(self) -> None:
+    def _report_crash(self) -> None:
         digests = self._crashes.on_down(self._clock.now())
         if digests:
             self._log.write('server-crashed', ran=digests)
             self.record_crash(digests)
             self._hooks.on_crash(digests)
 
-    def _observe(self, routed: RoutedRequest, key: int) -> None:
-        """Count what a request asks of the server, whatever comes of it."""
+    def _record_demand(self, routed: RoutedRequest, key: int) -> None:
+        """Record the work that a request needs, whatever its outcome."""
         work_s = self._gate.queue.estimate.expected_s(routed.kind)
         self._hooks.observe(key, work_s)
 
@@ -270,15 +283,17 @@
             return None
         now = self._clock.now()
         if self._needs_hold(routed) and self._life.is_finishing(now):
-            # Its keys are on their way to others and may still be here.
+            # The transfer of its keys may not have finished yet.
             return None
         return NotRun(NotRunReason.SERVER_DOWN, DEFAULT_RETRY_AFTER_S)
 
-    async def _async_wait_hold(self, routed: RoutedRequest) -> NotRun | None:
-        """Wait while keys move or are about to be granted."""
+    async def _async_wait_for_hold(
+        self, routed: RoutedRequest
+    ) -> NotRun | None:
+        """Wait while the key is being transferred or its grant is pending."""
         key = routed.caller.key or 0
         if self._holds.find_own(key) is not None:
-            self._observe(routed, key)
+            self._record_demand(routed, key)
         while not self._holds.is_held(key):
             assignment = self._holds.registry.key_map.find(key)
             if assignment is None:
@@ -294,11 +309,11 @@
             left_s -= self._gate.queue.estimate.expected_s(routed.kind)
             if left_s <= 0 or self._holds.is_overdue(key):
                 return NotRun(NotRunReason.NOT_GRANTED, DEFAULT_RETRY_AFTER_S)
-            await self._holds.async_wait_change(min(left_s, HOLD_LOOK_S))
+            await self._holds.async_wait_change(min(left_s, HOLD_POLL_S))
         return None
 
     async def _async_run(self, routed: RoutedRequest) -> Outcome:
-        """Send the request to the server while a slot is held."""
+        """Send the request to the server; requires a slot that is held."""
         key = routed.caller.key or 0
         if self._needs_hold(routed) and not self._holds.is_held(key):
             return NotRun(NotRunReason.MOVING, DEFAULT_RETRY_AFTER_S)
@@ -310,9 +325,9 @@
             async with asyncio.timeout(left_s + SERVER_GRACE_S):
                 outcome = await self._async_exchange(routed, left_s)
         except TimeoutError:
-            # A server answers at the deadline at the latest, so what lies
-            # between may have forgotten the connections that are kept.
-            self._pool.forget(self._wire.address)
+            # A server responds at the deadline at the latest, so the network
+            # in between may have dropped the pooled connections.
+            self._pool.forget(self._codec.address)
             outcome = Unknown(UnknownReason.TIMEOUT)
         now = self._clock.now()
         self._failures.observe(self._life.instance, outcome, now)
@@ -325,8 +340,8 @@
         self, routed: RoutedRequest, left_s: float
     ) -> Outcome:
         instance = self._life.instance
-        max_idle_s = None if routed.is_idempotent else ONCE_IDLE_S
-        address = self._wire.address
+        max_idle_s = None if routed.is_idempotent else MAX_IDLE_ONCE_S
+        address = self._codec.address
         try:
             channel = await self._pool.acquire(address, max_idle_s=max_idle_s)
         except ConnectFailedError as error:
@@ -336,9 +351,9 @@
                 why=str(error.__cause__),
             )
             self._unreached_until = self._clock.now() + UNREACHED_PAUSE_S
-            self._note_down()
+            self._report_crash()
             return NotRun(NotRunReason.CONNECT_FAILED, DEFAULT_RETRY_AFTER_S)
-        headers = tuple(self._wire.encode(routed, instance, left_s))
+        headers = tuple(self._codec.encode(routed, instance, left_s))
         caller = routed.caller
         try:
             send_request(
@@ -347,12 +362,12 @@
         except ChannelClosedError:
             channel.abort()
             return NotRun(NotRunReason.CONNECT_FAILED, DEFAULT_RETRY_AFTER_S)
-        return await self._async_watch(routed, channel)
+        return await self._async_track(routed, channel)
 
-    async def _async_watch(
+    async def _async_track(
         self, routed: RoutedRequest, channel: Channel
     ) -> Outcome:
-        """Read the answer, and note what it tells of the server's health."""
+        """Read the response, and update the crash detection by its outcome."""
         digest = fingerprint(routed)
         self._crashes.on_sent(digest)
         outcome = None
@@ -366,7 +381,7 @@
                 case Unknown(reason=UnknownReason.BROKEN):
                     self._crashes.on_broken(digest, now)
                 case _:
-                    self._crashes.on_ended(digest)
+                    self._crashes.on_inconclusive(digest)
         return outcome
 
     async def _async_read(
@@ -376,9 +391,9 @@
         reply = None
 
         def is_own(head: Response) -> bool:  # noqa: WPS430
-            # The head of the last answer looked at is the one returned.
+            # The last head that was decoded belongs to the returned response.
             nonlocal reply  # noqa: WPS420
-            reply = self._wire.decode(head)
+            reply = self._codec.decode(head)
             return not reply.request_id or reply.request_id == wanted
 
         try:
@@ -387,7 +402,7 @@
             channel.abort()
             return Unknown(UnknownReason.BROKEN)
         except BaseException:
-            # Closing tells the server that nobody waits for the answer.
+            # Closing the connection cancels the request at the server.
             channel.abort()
             raise
         if whole is None or reply is None:
@@ -396,13 +411,13 @@
         if reply.closes:
             channel.close()
         else:
-            self._pool.give_back(self._wire.address, channel)
-        return self._judge(reply, whole.body)
+            self._pool.give_back(self._codec.address, channel)
+        return self._to_outcome(reply, whole.body)
 
-    def _judge(self, reply: ServerReply, body: bytes) -> Outcome:
+    def _to_outcome(self, reply: ServerReply, body: bytes) -> Outcome:
         if reply.is_not_run:
             if reply.instance and reply.instance != self._life.instance:
-                self._hooks.on_other_life(reply.instance)
+                self._hooks.on_unexpected_incarnation(reply.instance)
             self._log.write(
                 'server-refused',
                 id=reply.request_id.decode('ascii', 'replace'),
--- a/plantaingrade/requests/targets.py
+++ b/plantaingrade/requests/targets.py
@@ -1,4 +1,4 @@
-"""Choose the process beside the server that is to run a request."""
+"""Choose the member whose server should run a request."""
 
 import random
 from collections.abc import Awaitable, Callable, Sequence
@@ -11,31 +11,33 @@
 from plantaingrade.requests.entity import Outcome, RoutedRequest
 from plantaingrade.requests.failures import FailureRates
 from plantaingrade.requests.selection import (
-    Place,
+    Candidate,
     choose_after_refusal,
-    choose_place,
-    choose_to_ask,
-    is_near_enough,
-    is_worth_crossing,
-    soonest,
+    choose_candidate,
+    find_earliest,
+    is_worth_crossing_zones,
+    meets_objective,
+    sample_to_poll,
 )
 
 LoadOf = Callable[[str, float], Load | None]
-AskRooms = Callable[[Sequence[Member], str, int], Awaitable[dict[str, Room]]]
+PollCapacity = Callable[
+    [Sequence[Member], str, int], Awaitable[dict[str, Room]]
+]
 
 
 class TargetChooser:
-    """Choose by owner for requests with a key, else by zone and load."""
+    """Chooses members by key owner, or by zone and load without a key."""
 
     __slots__ = (
-        '_away_zones',
+        '_evacuated_zones',
         '_clock',
         '_directory',
         '_failures',
         '_load_of',
         '_look_up',
         '_maps',
-        '_ask_rooms',
+        '_poll_capacity',
         '_own',
         '_pull_map',
         '_random',
@@ -50,19 +52,20 @@
         pull_map: Callable[[str, Member], None],
         look_up: Callable[[str], None],
         load_of: LoadOf,
-        ask_rooms: AskRooms,
-        away_zones: Callable[[], frozenset[str]] = frozenset,
+        poll_capacity: PollCapacity,
+        evacuated_zones: Callable[[], frozenset[str]] = frozenset,
     ) -> None:
-        """Choose on behalf of one process.
-
-        ``pull_map`` asks a member for the whole map of a service. ``look_up``
-        is told of an owner that is not known. ``load_of`` tells the load of a
-        member at a time, if it is known. ``ask_rooms`` asks members how soon
-        their servers could run a request of a kind and priority.
-        ``away_zones`` names the zones that are evacuated.
+        """Choose on behalf of the process of ``own``.
+
+        ``pull_map`` requests the whole map of a service from a member.
+        ``look_up`` is called with the name of an unknown owner. ``load_of``
+        returns the load of a member at a point in time, if known.
+        ``poll_capacity`` asks members how soon their servers could run a
+        request of a kind and priority. ``evacuated_zones`` returns the zones
+        that are evacuated.
         """
-        self._ask_rooms = ask_rooms
-        self._away_zones = away_zones
+        self._poll_capacity = poll_capacity
+        self._evacuated_zones = evacuated_zones
         self._failures = FailureRates()
         self._load_of = load_of
         self._look_up = look_up
@@ -73,40 +76,44 @@
         self._clock = clock
         self._random = random.Random(own.boot)
 
-    def count(self) -> int:
-        """Return how many processes are known."""
+    def count_members(self) -> int:
+        """Return the number of known members."""
         return len(self._directory.members())
 
     def map_version(self, service: str) -> int:
-        """Return the version of the map that owners are chosen by."""
+        """Return the version of the map that is used to find owners."""
         return self._maps.find(service).version
 
-    def learn_from(self, service: str, name: str) -> None:
-        """Ask a member for the map of a service; it has a newer one."""
+    def request_map(self, service: str, name: str) -> None:
+        """Request the map of a service from a member that has a newer one."""
         member = self._directory.find(name)
         if member is not None and name != self._own.name:
             self._pull_map(service, member)
 
     def is_keyed(self, service: str) -> bool:
-        """Tell whether requests of a service go to the owner of their key."""
+        """Return whether requests of a service go to the owner of their key."""
         return bool(self._maps.find(service).version)
 
     def avoid(self, member: Member) -> None:
-        """Pass a member over for a while: its server takes no work."""
+        """Skip a member for a while, because its server accepts no work."""
         self._directory.suspect(member.name, self._clock.now())
 
-    def note_outcome(self, member: Member, outcome: Outcome) -> None:
-        """Learn from what became of a request at a member's server."""
+    def record_outcome(self, member: Member, outcome: Outcome) -> None:
+        """Update the failure rate of a member's server."""
         self._failures.observe(member.name, outcome, self._clock.now())
 
     def may_ask(self, member: Member) -> bool:
-        """Tell whether a request may be sent to a member now."""
+        """Return whether a request may be sent to a member now."""
         return self._directory.may_ask(member.name, self._clock.now())
 
     async def async_choose(
         self, routed: RoutedRequest, tried: set[str], hint: str
     ) -> Member | None:
-        """Return the member to ask next, if there is any."""
+        """Return the member to try next, if there is any.
+
+        ``tried`` are the members already tried; ``hint`` is the owner that a
+        redirect named, or empty.
+        """
         if hint:
             return self._directory.find(hint)
         key = routed.caller.key
@@ -124,76 +131,92 @@
     async def async_choose_other(
         self, routed: RoutedRequest, tried: set[str]
     ) -> Member | None:
-        """Return a member that may have room after others were full."""
+        """Return another member to try after a server was full."""
         service = routed.service
-        places = self._sound_places(service, tried)
-        name = soonest(await self._async_rooms(routed, places))
+        candidates = self._healthy_candidates(service, tried)
+        name = find_earliest(
+            await self._async_poll_capacity(routed, candidates)
+        )
         if name is not None:
             return self._directory.find(name)
-        place = choose_after_refusal(
-            self._sound_places(service, tried), self._random
+        candidate = choose_after_refusal(
+            self._healthy_candidates(service, tried), self._random
         )
-        return None if place is None else place.member
+        return None if candidate is None else candidate.member
 
     async def _async_choose_any(
         self, routed: RoutedRequest, tried: set[str]
     ) -> Member | None:
-        """Return the member whose server would probably be done first."""
+        """Return the member with the earliest expected finish time."""
         service = routed.service
-        places = self._sound_places(service, tried)
-        if not places:
-            places = self._places(service, tried)
+        candidates = self._healthy_candidates(service, tried)
+        if not candidates:
+            candidates = self._candidates(service, tried)
         zone = self._own.zone
-        near = [place for place in places if place.member.zone == zone]
-        far = [place for place in places if place.member.zone != zone]
-        name = await self._async_soonest(routed, near, far)
+        local = [
+            candidate
+            for candidate in candidates
+            if candidate.member.zone == zone
+        ]
+        remote = [
+            candidate
+            for candidate in candidates
+            if candidate.member.zone != zone
+        ]
+        name = await self._async_find_earliest(routed, local, remote)
         if name is not None:
             return self._directory.find(name)
-        place = choose_place(near, far, self._random)
-        return None if place is None else place.member
+        candidate = choose_candidate(local, remote, self._random)
+        return None if candidate is None else candidate.member
 
-    async def _async_soonest(
+    async def _async_find_earliest(
         self,
         routed: RoutedRequest,
-        near: Sequence[Place],
-        far: Sequence[Place],
+        local: Sequence[Candidate],
+        remote: Sequence[Candidate],
     ) -> str | None:
-        near_rooms = await self._async_rooms(routed, near)
-        nearest = soonest(near_rooms)
+        local_capacities = await self._async_poll_capacity(routed, local)
+        local_name = find_earliest(local_capacities)
         due_in_s = routed.due - self._clock.now()
-        if nearest and is_near_enough(near_rooms[nearest], due_in_s):
-            return nearest
-        far_rooms = await self._async_rooms(routed, far)
-        farthest = soonest(far_rooms)
-        if not farthest or not nearest:
-            return nearest or farthest
-        is_better = is_worth_crossing(near_rooms[nearest], far_rooms[farthest])
-        return farthest if is_better else nearest
-
-    async def _async_rooms(
-        self, routed: RoutedRequest, places: Sequence[Place]
+        if local_name and meets_objective(
+            local_capacities[local_name], due_in_s
+        ):
+            return local_name
+        remote_capacities = await self._async_poll_capacity(routed, remote)
+        remote_name = find_earliest(remote_capacities)
+        if not remote_name or not local_name:
+            return local_name or remote_name
+        is_better = is_worth_crossing_zones(
+            local_capacities[local_name], remote_capacities[remote_name]
+        )
+        return remote_name if is_better else local_name
+
+    async def _async_poll_capacity(
+        self, routed: RoutedRequest, candidates: Sequence[Candidate]
     ) -> dict[str, Room]:
-        asked = choose_to_ask(places, self._random)
-        members = [place.member for place in asked]
-        return await self._ask_rooms(members, routed.kind, routed.priority)
+        polled = sample_to_poll(candidates, self._random)
+        members = [candidate.member for candidate in polled]
+        return await self._poll_capacity(members, routed.kind, routed.priority)
 
-    def _sound_places(self, service: str, tried: set[str]) -> list[Place]:
+    def _healthy_candidates(
+        self, service: str, tried: set[str]
+    ) -> list[Candidate]:
         now = self._clock.now()
         return [
-            place
-            for place in self._places(service, tried)
-            if not self._directory.is_suspect(place.member.name, now)
+            candidate
+            for candidate in self._candidates(service, tried)
+            if not self._directory.is_suspect(candidate.member.name, now)
         ]
 
-    def _places(self, service: str, tried: set[str]) -> list[Place]:
+    def _candidates(self, service: str, tried: set[str]) -> list[Candidate]:
         now = self._clock.now()
-        away = self._away_zones()
+        evacuated = self._evacuated_zones()
         return [
-            Place(
+            Candidate(
                 member,
                 self._load_of(member.name, now),
                 self._failures.rate(member.name, now),
             )
             for member in self._directory.serving(service)
-            if member.name not in tried and member.zone not in away
+            if member.name not in tried and member.zone not in evacuated
         ]
--- a/tests/requests/test_coordinator.py
+++ b/tests/requests/test_coordinator.py
@@ -1,4 +1,4 @@
-"""What is tried again, and what callers are told."""
+"""Tests of retries and of the outcomes returned to callers."""
 
 import asyncio
 import os
@@ -35,12 +35,12 @@
     UnknownReason,
 )
 from plantaingrade.requests.targets import TargetChooser
-from plantaingrade.requests.usual_deadlines import Patience
+from plantaingrade.requests.usual_deadlines import UsualDeadlines
 from tests.virtual import LoopClock, run
 
 SERVED = Answered(Answer(200, (), b'done'))
 BROKEN = Unknown(UnknownReason.BROKEN)
-SHED = NotRun(NotRunReason.SERVER_REFUSED)
+REFUSED = NotRun(NotRunReason.SERVER_REFUSED)
 FULL = NotRun(NotRunReason.QUEUE_FULL, 0.2)
 DOWN = NotRun(NotRunReason.PEER_DOWN)
 OWN = Member('s@1', 's', 'a', '1', 'b1')
@@ -51,13 +51,13 @@
 NO_LOADS: Mapping[str, Load] = MappingProxyType({})
 
 
-async def async_ask_nobody(*_) -> dict[str, Room]:
-    """Return no answer of any member."""
+async def async_poll_nobody(*_) -> dict[str, Room]:
+    """Return no free capacity of any member."""
     return {}
 
 
-class FakePath:
-    """Answer with outcomes set by the test, and note who was asked."""
+class FakePaths:
+    """Return outcomes set by the test, and record which members were asked."""
 
     def __init__(self, outcomes: list[Outcome]) -> None:
         self.outcomes = deque(outcomes)
@@ -75,7 +75,7 @@
 
 
 class FakeConfig:
-    """A configuration that is in force, or none."""
+    """An active configuration, or none."""
 
     version = 3
 
@@ -110,8 +110,8 @@
     load_by_name: Mapping[str, Load] = NO_LOADS,
     unreachable: tuple[str, ...] = (),
 ) -> tuple[Outcome | NoRoute, list[str]]:
-    """Return the outcome of one request, and who was asked for it."""
-    paths = FakePath(outcomes)
+    """Return the outcome of one request and the members that were asked."""
+    paths = FakePaths(outcomes)
     pulled = paths.on_pull
     directory = Directory()
     for member in members:
@@ -120,7 +120,7 @@
     names = [member.name for member in KEYED]
     maps.offer('k', split_evenly(names).at_version(1))
 
-    async def story():
+    async def serve_once():
         clock = LoopClock()
         now = clock.now()
         for name in unreachable:
@@ -139,7 +139,7 @@
                 pulled,
                 lambda _: None,
                 lambda name, _: load_by_name.get(name),
-                async_ask_nobody,
+                async_poll_nobody,
             ),
             paths,
             paths,
@@ -150,25 +150,26 @@
         )
         return await coordinator.async_serve(caller)
 
-    return run(story()), paths.asked
+    return run(serve_once()), paths.asked
 
 
-def test_a_server_in_the_own_zone_is_asked_first() -> None:
+def test_server_in_own_zone_is_tried_first() -> None:
     outcome, asked = ask('/s/i/1', [SERVED])
     assert outcome == SERVED
     assert asked[0] in {OWN.name, NEAR.name}
 
 
-def test_the_owner_of_the_key_is_asked() -> None:
+def test_request_goes_to_owner_of_key() -> None:
     _, asked = ask('/k/o/1', [SERVED], key=10)
     assert asked == ['k@4']
     _, asked = ask('/k/o/1', [SERVED], key=60_000)
     assert asked == ['k@5']
 
 
-def test_a_server_that_takes_no_work_is_asked_once() -> None:
-    """Requests to services without keys carry keys too. A drained server is
-    asked, refuses, and is asked again until the tries are spent.
+def test_drained_server_is_tried_once() -> None:
+    """A drained server must not be tried again until all tries are used up.
+
+    Requests to services without keys may carry a key as well.
     """
     drained = NotRun(NotRunReason.DRAINING)
     for _ in range(10):
@@ -177,25 +178,24 @@
         assert len(set(asked)) == 2
 
 
-def test_a_redirect_is_followed_at_once() -> None:
+def test_redirect_is_followed() -> None:
     moved = NotRun(NotRunReason.NOT_OWNER, 0, 'k@5')
     outcome, asked = ask('/k/o/1', [moved, SERVED], key=10)
     assert outcome == SERVED
     assert asked == ['k@4', 'k@5']
 
 
-@pytest.mark.parametrize('refusal', [DOWN, SHED])
-def test_what_was_not_run_is_tried_elsewhere(refusal) -> None:
+@pytest.mark.parametrize('refusal', [DOWN, REFUSED])
+def test_request_that_was_not_run_is_retried_elsewhere(refusal) -> None:
     outcome, asked = ask('/s/o/1', [refusal, SERVED])
     assert outcome == SERVED
     assert len(set(asked)) == 2
 
 
-def test_what_may_have_run_is_repeated_only_if_idempotent() -> None:
-    """A server's connection breaks in the middle of a request.
+def test_unknown_outcome_is_retried_only_if_idempotent() -> None:
+    """The connection to a server breaks in the middle of a request.
 
-    A booking that may have been made must not be sent again; reading a
-    listing may.
+    A write that may have been run must not be sent again; a read may be.
     """
     outcome, asked = ask('/s/o/1', [BROKEN, SERVED])
     assert outcome == BROKEN
@@ -206,22 +206,21 @@
 
 
 @pytest.mark.parametrize('refusal', [FULL, DOWN])
-def test_a_refused_repeat_does_not_say_that_nothing_ran(refusal) -> None:
-    """A server runs a read and is killed before it answers.
+def test_refused_retry_keeps_unknown_outcome(refusal) -> None:
+    """A server is killed during a read, and the retry is refused.
 
-    The read is sent again, and the second try is refused. The caller must not
-    be told that it has not run.
+    The caller must not receive the response that the request has not run.
     """
     outcome, asked = ask('/k/i/1', [BROKEN, *repeat(refusal, 9)], key=10)
     assert outcome == BROKEN
     assert len(asked) > 1
 
 
-def test_a_full_server_is_not_asked_again() -> None:
-    """Each of the own zone's servers is full.
+def test_full_server_is_not_tried_again() -> None:
+    """All servers of the own zone are full.
 
-    Its process refuses before anything is sent. The same server is not asked
-    again; another one that may have room is, but only one.
+    The process refuses before anything is sent. The same server is not tried
+    again; one other server that may have free capacity is.
     """
     outcome, asked = ask('/s/i/1', [FULL, FULL, SERVED])
     assert outcome == FULL
@@ -230,26 +229,25 @@
     assert outcome == SERVED
 
 
-def test_nobody_is_asked_after_a_refusal_if_all_are_full() -> None:
+def test_no_retry_if_all_servers_are_full() -> None:
     full = {member.name: Load(1.5, 0.06, 6) for member in (OWN, NEAR, FAR)}
     outcome, asked = ask('/s/i/1', [FULL, SERVED], load_by_name=full)
     assert outcome == FULL
     assert len(asked) == 1
 
 
-def test_a_full_owner_has_no_stand_in() -> None:
-    """Only the owner of a key may serve it, so its refusal is final."""
+def test_full_owner_has_no_substitute() -> None:
+    """Only the owner may serve a key, so its refusal is final."""
     outcome, asked = ask('/k/o/1', [FULL, SERVED], key=10)
     assert outcome == FULL
     assert asked == ['k@4']
 
 
-def test_requests_for_an_unreachable_owner_are_refused_at_once() -> None:
-    """The owner's instance is cut off.
+def test_requests_to_unreachable_owner_are_refused_immediately() -> None:
+    """The owner's instance is unreachable.
 
-    Two requests in a row found no connection. Until it answers again, its
-    callers are told at once to come back, rather than held until their time
-    is up.
+    After two failed connections in a row, callers get Retry-After immediately
+    until the owner responds again, instead of waiting for their deadline.
     """
     outcome, asked = ask('/k/o/1', [], key=10, unreachable=('k@4', 'k@4'))
     assert outcome.reason is NotRunReason.UNREACHABLE
@@ -257,59 +255,59 @@
     assert asked == []
 
 
-def test_one_lost_connection_does_not_make_an_owner_unreachable() -> None:
+def test_one_lost_connection_does_not_make_owner_unreachable() -> None:
     outcome, _ = ask('/k/o/1', [SERVED], key=10, unreachable=('k@4',))
     assert outcome == SERVED
 
 
-def test_repeats_at_servers_are_bounded() -> None:
-    outcome, asked = ask('/s/i/1', list(repeat(SHED, 9)))
-    assert outcome == SHED
+def test_retries_at_servers_are_bounded() -> None:
+    outcome, asked = ask('/s/i/1', list(repeat(REFUSED, 9)))
+    assert outcome == REFUSED
     assert len(asked) <= 4
 
 
-def test_nothing_is_tried_when_the_time_is_up() -> None:
+def test_tries_are_bounded() -> None:
     slow = list(repeat(DOWN, 9))
     outcome, asked = ask('/s/o/1', slow)
     assert isinstance(outcome, NotRun)
     assert len(asked) <= 4
 
 
-def test_unknown_routes_and_missing_configurations_differ() -> None:
-    """An operator's new route is not known to a process that has just
-    started; it must not say that there is no such route.
+def test_unknown_route_differs_from_missing_configuration() -> None:
+    """A process that has just started has no configuration yet; it must not
+    respond that a route does not exist.
     """
     assert ask('/nowhere/', [])[0] == NoRoute()
     outcome, _ = ask('/s/i/1', [], routes=())
     assert outcome.reason is NotRunReason.NO_CONFIG
 
 
-def test_a_service_without_any_server_refuses() -> None:
+def test_service_without_servers_refuses() -> None:
     outcome, _ = ask('/s/i/1', [], members=())
     assert outcome.reason is NotRunReason.NO_SERVER
 
 
-def test_patience_tells_who_comes_back() -> None:
-    patience = Patience()
+def test_shortened_deadlines_are_detected() -> None:
+    usual = UsualDeadlines()
     for deadline_ms in (500, 500, 499, 500, 470, 500):
-        patience.waited_s('r', deadline_ms)
-    assert patience.waited_s('r', 500) == pytest.approx(0)
-    assert patience.waited_s('r', 499) == pytest.approx(0)
-    assert patience.waited_s('r', 380) == pytest.approx(0.12)
-    assert patience.waited_s('other', 380) == pytest.approx(0)
+        usual.waited_s('r', deadline_ms)
+    assert usual.waited_s('r', 500) == pytest.approx(0)
+    assert usual.waited_s('r', 499) == pytest.approx(0)
+    assert usual.waited_s('r', 380) == pytest.approx(0.12)
+    assert usual.waited_s('other', 380) == pytest.approx(0)
 
 
-def test_patience_follows_a_new_deadline() -> None:
-    patience = Patience()
+def test_usual_deadline_follows_a_change() -> None:
+    usual = UsualDeadlines()
     for _ in range(100):
-        patience.waited_s('r', 500)
+        usual.waited_s('r', 500)
     for _ in range(1000):
-        patience.waited_s('r', 300)
-    assert patience.waited_s('r', 300) == pytest.approx(0)
-    assert patience.waited_s('r', 200) == pytest.approx(0.1)
+        usual.waited_s('r', 300)
+    assert usual.waited_s('r', 300) == pytest.approx(0)
+    assert usual.waited_s('r', 200) == pytest.approx(0.1)
 
 
-def test_a_suspect_is_passed_over_for_a_while() -> None:
+def test_suspect_member_is_skipped_for_a_while() -> None:
     directory = Directory()
     for member in (OWN, NEAR):
         directory.add(member)
@@ -326,11 +324,11 @@
     assert [member.name for member in directory.serving('s')] == [OWN.name]
 
 
-def test_an_unreachable_member_is_tried_now_and_then() -> None:
-    """A member was cut off and has come back.
+def test_unreachable_member_is_probed() -> None:
+    """A member was unreachable and is reachable again.
 
-    One request in half a second tries it; the first answer ends the wait for
-    all others. A new run of its process ends it too.
+    One request every half second probes it; its first response or a new
+    start of its process makes it available for all requests again.
     """
     directory = Directory()
     directory.add(NEAR)
@@ -349,10 +347,10 @@
     assert directory.may_ask(NEAR.name, 11.1)
 
 
-def test_a_member_that_is_gone_for_good_is_tried_ever_more_rarely() -> None:
-    """An instance was lost, and its row stays in the store.
+def test_probes_of_a_lost_member_back_off() -> None:
+    """An instance is lost, but its row stays in the store.
 
-    Each try holds a request up until no connection was made.
+    Each probe delays a request until the connection attempt fails.
     """
     directory = Directory()
     directory.add(NEAR)
--- a/tests/requests/test_hop.py
+++ b/tests/requests/test_hop.py
@@ -1,4 +1,4 @@
-"""Requests and answers between processes."""
+"""Tests of the encoding of requests and responses between processes."""
 
 import pytest
 from hypothesis import example, given
@@ -69,7 +69,7 @@
     return Request.build('POST', '/a/b', list(headers))
 
 
-def test_a_request_arrives_as_it_was_sent() -> None:
+def test_request_round_trip() -> None:
     raw = hop(encode_hop(ROUTED, KNOWN, NOW))
     routed, known = decode_hop(raw, b'body', NOW)
     assert known == KNOWN
@@ -83,38 +83,38 @@
     assert routed.due == pytest.approx(ROUTED.due, abs=0.002)
 
 
-def test_times_travel_as_what_is_left() -> None:
-    """Clocks of instances differ, and time passes on the way."""
+def test_times_are_sent_as_remaining_time() -> None:
+    """Clocks of instances differ, and the transfer takes time."""
     raw = hop(encode_hop(ROUTED, KNOWN, NOW + 0.1))
     routed, _ = decode_hop(raw, b'', 900.0)
     assert routed.until == pytest.approx(900.3, abs=0.002)
 
 
-# One float below 1001 ms was once cut off to 1000.
+# 1.001 * 1000 is just below 1001 as a float; truncation would give 1000.
 @example(NotRun(NotRunReason.NO_CONFIG, 1.001))
 @given(outcomes)
-def test_an_outcome_arrives_as_it_was_sent(outcome) -> None:
+def test_outcome_round_trip(outcome) -> None:
     assert decode_outcome(encode_outcome(outcome)) == outcome
 
 
-def test_a_servers_own_refusal_is_an_answer_and_no_promise() -> None:
-    """A server's 503 that does not say the request has not run goes to the
-    caller as it is, and never becomes a promise of this system.
+def test_refusal_by_a_server_is_forwarded_as_an_answer() -> None:
+    """A server's 503 that does not guarantee that the request has not run must
+    not become such a guarantee.
     """
     answer = Answer(503, ((b'server-stamp', b'6.14'),), b'x')
     assert decode_outcome(encode_outcome(Answered(answer))) == Answered(answer)
 
 
 @pytest.mark.parametrize(
-    'facts', ['', 'a', '1,2,3,4,i,5,s', 'x,y,z,1,i,5,s,t,1,2', ',,,,,,,,,']
+    'fields', ['', 'a', '1,2,3,4,i,5,s', 'x,y,z,1,i,5,s,t,1,2', ',,,,,,,,,']
 )
-def test_a_request_without_facts_is_refused(facts) -> None:
-    raw = hop([(b'host', b'x'), (b'q', facts.encode())])
+def test_malformed_fields_are_rejected(fields) -> None:
+    raw = hop([(b'host', b'x'), (b'q', fields.encode())])
     with pytest.raises(MalformedHopError):
         decode_hop(raw, b'', NOW)
 
 
-def test_loads_are_told_with_answers() -> None:
+def test_load_round_trip() -> None:
     header = encode_load(Load(0.87, 0.064, 6))
     load = decode_load((header,))
     assert load.share == pytest.approx(0.87)
--- a/tests/requests/test_selection.py
+++ b/tests/requests/test_selection.py
@@ -1,4 +1,4 @@
-"""Where requests go that any server of a service may run."""
+"""Tests of the server selection for requests without a key."""
 
 import random
 from collections import Counter
@@ -18,106 +18,124 @@
 from plantaingrade.requests.failures import FailureRates, is_failure
 from plantaingrade.requests.selection import (
     MAX_EXCESS_FAILURE_RATE,
-    Place,
+    Candidate,
     best_of_two,
     choose_after_refusal,
-    choose_place,
-    is_near_enough,
-    is_worth_crossing,
-    soonest,
+    choose_candidate,
+    find_earliest,
+    is_worth_crossing_zones,
+    meets_objective,
 )
 
 SLOTS = 6
 WORK_S = 0.042
 # Speeds of three servers, one in each availability zone.
 SPEED_BY_ZONE = {'a': 0.7, 'b': 0.7, 'c': 1.6}
-# Requests a second in each zone; 0.84 of what all three can run.
+# Requests per second in each zone; 84 % of the capacity of all three.
 PER_S = 120
 
 
-def place(name: str, share: float | None, failures: float = 0.0) -> Place:
+def make_candidate(
+    name: str, share: float | None, failures: float = 0.0
+) -> Candidate:
     load = None if share is None else Load(share, WORK_S, SLOTS)
-    return Place(Member(name, 's', name, name, 'b'), load, failures)
+    return Candidate(Member(name, 's', name, name, 'b'), load, failures)
 
 
-def count(near: list[Place], far: list[Place], tries: int = 2000) -> Counter:
-    chance = random.Random(7)
-    chosen = (choose_place(near, far, chance) for _ in range(tries))
+def count(
+    local: list[Candidate], remote: list[Candidate], tries: int = 2000
+) -> Counter:
+    rng = random.Random(7)
+    chosen = (choose_candidate(local, remote, rng) for _ in range(tries))
     return Counter(each.member.name for each in chosen)
 
 
-def test_requests_stay_in_their_zone_while_it_has_room() -> None:
-    chosen = count([place('a', 0.6)], [place('b', 0.0)])
+def test_requests_stay_in_zone_with_free_capacity() -> None:
+    chosen = count([make_candidate('a', 0.6)], [make_candidate('b', 0.0)])
     assert chosen == {'a': 2000}
 
 
-def test_only_the_excess_leaves_the_zone() -> None:
-    """If all of it left, every process would turn to the same server."""
-    chosen = count([place('a', 1.4)], [place('b', 0.2)])
+def test_only_excess_load_leaves_the_zone() -> None:
+    """Otherwise all processes would switch to the same server at once."""
+    chosen = count([make_candidate('a', 1.4)], [make_candidate('b', 0.2)])
     assert chosen['a'] > 900
     assert chosen['b'] > 900
 
 
-def test_requests_stay_where_others_are_as_full() -> None:
-    chosen = count([place('a', 1.4)], [place('b', 1.3)])
+def test_requests_stay_if_other_zones_are_as_full() -> None:
+    chosen = count([make_candidate('a', 1.4)], [make_candidate('b', 1.3)])
     assert chosen == {'a': 2000}
 
 
-def test_the_less_loaded_of_a_zone_gets_more() -> None:
-    near = [place('a', 0.9), place('b', 0.1), place('c', 0.5)]
-    chosen = count(near, [])
+def test_less_loaded_server_gets_more() -> None:
+    local = [
+        make_candidate('a', 0.9),
+        make_candidate('b', 0.1),
+        make_candidate('c', 0.5),
+    ]
+    chosen = count(local, [])
     assert chosen['a'] == 0
     assert 0 < chosen['c'] < chosen['b']
 
 
-def test_a_server_that_told_nothing_is_tried() -> None:
-    chosen = count([place('a', 1.4)], [place('b', None)])
+def test_server_without_reported_load_is_tried() -> None:
+    chosen = count([make_candidate('a', 1.4)], [make_candidate('b', None)])
     assert chosen['b'] > 900
 
 
-def test_a_server_that_joins_a_quiet_service_gets_its_share() -> None:
-    """A server joins while the others have little to do.
+def test_new_server_of_an_idle_service_gets_its_share() -> None:
+    """A server that joined an idle service never got requests.
 
-    It told nobody its load, was taken for half loaded, and so each request
-    went to another: nobody ever heard of its load, and it got nothing.
+    Its load was unknown and assumed to be one half, so every request went to
+    another server, and its load was never reported.
     """
-    near = [place('a', 0.3), place('b', 0.25), place('c', 0.2)]
-    chosen = count([*near, place('new', None)], [])
+    local = [
+        make_candidate('a', 0.3),
+        make_candidate('b', 0.25),
+        make_candidate('c', 0.2),
+    ]
+    chosen = count([*local, make_candidate('new', None)], [])
     assert chosen['new'] > 2000 / 4 * 0.6
 
 
-def test_a_server_that_joins_is_not_overrun() -> None:
-    """Many processes do not know its load at the same time."""
-    near = [place('a', 0.3), place('b', 0.25), place('c', 0.2)]
-    chosen = count([*near, place('new', None)], [])
+def test_new_server_is_not_overloaded() -> None:
+    """Many processes do not know its load at first."""
+    local = [
+        make_candidate('a', 0.3),
+        make_candidate('b', 0.25),
+        make_candidate('c', 0.2),
+    ]
+    chosen = count([*local, make_candidate('new', None)], [])
     assert chosen['new'] < 2000 / 4 * 1.5
 
 
-def test_nobody_is_chosen_from_nobody() -> None:
-    assert choose_place([], [], random.Random(1)) is None
+def test_no_candidate_without_servers() -> None:
+    assert choose_candidate([], [], random.Random(1)) is None
     assert best_of_two([], random.Random(1)) is None
-    full = [place('a', 1.2), place('b', 2.0)]
+    full = [make_candidate('a', 1.2), make_candidate('b', 2.0)]
     assert choose_after_refusal(full, random.Random(1)) is None
 
 
-def test_a_server_that_fails_its_requests_is_passed_over() -> None:
-    """A server fails half of its requests; its health check is good.
+def test_failing_server_is_skipped() -> None:
+    """A server fails half of its requests; its health check passes.
 
-    Those of the own zone go elsewhere while there is room elsewhere. If the
-    others are full, half of the requests served is better than none.
+    Requests leave the zone while other zones have free capacity. If those are
+    full, serving half of the requests is better than none.
     """
-    failing = place('a', 0.5, 0.45)
-    assert count([failing], [place('b', 0.6)]) == {'b': 2000}
-    assert count([failing], [place('b', 1.2)]) == {'a': 2000}
+    failing = make_candidate('a', 0.5, 0.45)
+    assert count([failing], [make_candidate('b', 0.6)]) == {'b': 2000}
+    assert count([failing], [make_candidate('b', 1.2)]) == {'a': 2000}
 
 
-def test_what_all_servers_fail_alike_moves_nothing() -> None:
-    chosen = count([place('a', 0.5, 0.5)], [place('b', 0.1, 0.45)])
+def test_common_failures_move_no_requests() -> None:
+    chosen = count(
+        [make_candidate('a', 0.5, 0.5)], [make_candidate('b', 0.1, 0.45)]
+    )
     assert chosen == {'a': 2000}
 
 
-def test_failures_are_seen_soon_and_forgotten_slowly() -> None:
-    """A server begins to fail, is passed over, and is tried again later."""
+def test_failure_rate_rises_quickly_and_decays_slowly() -> None:
+    """A server starts to fail, is skipped, and is tried again later."""
     rates = FailureRates()
     good = Answered(Answer(200, (), b''))
     bad = Answered(Answer(500, (), b''))
@@ -130,7 +148,7 @@
     assert rates.rate('b', 1.1) == approx(0)
 
 
-def test_only_what_a_server_was_asked_counts() -> None:
+def test_only_requests_sent_to_a_server_count() -> None:
     assert is_failure(NotRun(NotRunReason.QUEUE_FULL)) is None
     assert is_failure(NotRun(NotRunReason.PEER_DOWN)) is None
     assert is_failure(NotRun(NotRunReason.SERVER_REFUSED))
@@ -138,31 +156,39 @@
     assert not is_failure(Answered(Answer(404, (), b'')))
 
 
-def test_zones_with_slow_servers_lean_on_fast_ones() -> None:
-    """Servers of different speeds stand in different zones.
+def test_load_spills_over_from_slow_to_fast_zone() -> None:
+    """Zones with the same load have servers of different speeds.
 
-    Each zone brings the same load, so the slow ones are asked for more than
-    they can run and refuse, while the fast one is half idle. Played in steps
-    of a measuring window against a choice by zone alone.
+    Without spillover, the slow servers are overloaded while the fast one is
+    half idle. Simulated in steps of one load measuring window.
     """
-    by_zone, by_load = _play(spills=False), _play(spills=True)
-    room = Load(1.0, WORK_S, SLOTS).share
-    assert max(by_zone.values()) > room
-    assert max(by_load.values()) < room
+    by_zone, by_load = (
+        _simulate(with_spillover=False),
+        _simulate(with_spillover=True),
+    )
+    capacity = Load(1.0, WORK_S, SLOTS).share
+    assert max(by_zone.values()) > capacity
+    assert max(by_load.values()) < capacity
     assert min(by_load.values()) > min(by_zone.values())
 
 
-def _play(*, spills: bool) -> dict[str, float]:
-    """Return the load of each server after some windows."""
-    chance = random.Random(3)
+def _simulate(*, with_spillover: bool) -> dict[str, float]:
+    """Return the load of each server after 20 load windows."""
+    rng = random.Random(3)
     share_by_zone = dict.fromkeys(SPEED_BY_ZONE, 0.0)
     for _ in range(20):
         work_by_zone = dict.fromkeys(SPEED_BY_ZONE, 0.0)
-        places = [place(zone, share) for zone, share in share_by_zone.items()]
-        for own in places:
-            far = [each for each in places if each is not own] if spills else []
+        candidates = [
+            make_candidate(zone, share) for zone, share in share_by_zone.items()
+        ]
+        for own in candidates:
+            remote = (
+                [each for each in candidates if each is not own]
+                if with_spillover
+                else []
+            )
             for _ in range(PER_S):
-                chosen = choose_place([own], far, chance).member.zone
+                chosen = choose_candidate([own], remote, rng).member.zone
                 work_by_zone[chosen] += WORK_S / SPEED_BY_ZONE[chosen]
         for zone, work in work_by_zone.items():
             before = share_by_zone[zone]
@@ -170,33 +196,33 @@
     return share_by_zone
 
 
-def test_the_server_that_ends_first_is_chosen_not_the_one_that_begins() -> None:
-    """A free server at half the speed was preferred to one free in a moment."""
-    rooms = {'slow': Room(0.0, 0.2), 'fast': Room(0.03, 0.08)}
-    assert soonest(rooms) == 'fast'
+def test_earliest_finish_wins_over_earliest_start() -> None:
+    """A free server at half the speed was preferred to one free shortly."""
+    capacities = {'slow': Room(0.0, 0.2), 'fast': Room(0.03, 0.08)}
+    assert find_earliest(capacities) == 'fast'
 
 
-def test_a_server_that_fails_fast_does_not_draw_all_requests() -> None:
-    """It has the most room of all, as it runs nothing for long."""
-    rooms = {
+def test_fast_failing_server_does_not_attract_requests() -> None:
+    """It seems to have the most free capacity, as its requests end early."""
+    capacities = {
         'failing': Room(0.0, 0.01, failures=0.5),
-        'sound': Room(0.1, 0.1, failures=0.02),
+        'healthy': Room(0.1, 0.1, failures=0.02),
     }
-    assert soonest(rooms) == 'sound'
+    assert find_earliest(capacities) == 'healthy'
 
 
-def test_what_all_servers_fail_alike_rules_none_out() -> None:
-    rooms = {
+def test_common_failures_exclude_no_server() -> None:
+    capacities = {
         'one': Room(0.0, 0.1, failures=0.5),
         'other': Room(0.2, 0.1, failures=0.45),
     }
-    assert soonest(rooms) == 'one'
-    assert soonest({}) is None
+    assert find_earliest(capacities) == 'one'
+    assert find_earliest({}) is None
 
 
-def test_a_request_leaves_its_zone_only_to_end_clearly_sooner() -> None:
-    near = Room(0.1, 0.1)
-    assert is_near_enough(near, due_in_s=0.25)
-    assert not is_near_enough(near, due_in_s=0.15)
-    assert is_worth_crossing(near, Room(0.0, 0.1))
-    assert not is_worth_crossing(near, Room(0.08, 0.1))
+def test_request_leaves_zone_only_to_finish_clearly_earlier() -> None:
+    local = Room(0.1, 0.1)
+    assert meets_objective(local, due_in_s=0.25)
+    assert not meets_objective(local, due_in_s=0.15)
+    assert is_worth_crossing_zones(local, Room(0.0, 0.1))
+    assert not is_worth_crossing_zones(local, Room(0.08, 0.1))
--- a/tests/requests/test_suspects.py
+++ b/tests/requests/test_suspects.py
@@ -1,13 +1,13 @@
-"""Which requests are taken to crash servers."""
+"""Tests of the detection of requests that crash servers."""
 
 import random
 
 import pytest
 
-from plantaingrade.requests.crashes import CrashWatch
+from plantaingrade.requests.crashes import CrashDetector
 from plantaingrade.requests.entity import CallerRequest, RoutedRequest
 from plantaingrade.requests.suspects import (
-    INNOCENT_S,
+    CLEARED_S,
     MAX_ANSWERED,
     MAX_SUSPECTS,
     QUARANTINE_S,
@@ -25,7 +25,7 @@
     return RoutedRequest(caller, 'mine', 'cases', False, 1, 2.0, 1.5)
 
 
-def test_a_request_is_known_again_by_path_caller_and_body() -> None:
+def test_fingerprint_covers_path_caller_and_body() -> None:
     first = fingerprint(routed(name=b'first'))
     assert first == fingerprint(routed(name=b'second'))
     assert first != fingerprint(routed(path=b'/a/2'))
@@ -33,60 +33,56 @@
     assert fingerprint(routed(b'/a', b'b')) != fingerprint(routed(b'/ab', b''))
 
 
-def test_what_alone_explains_two_crashes_is_refused() -> None:
+def test_request_running_alone_at_two_crashes_is_refused() -> None:
     suspects = Suspects()
-    suspects.note_crash(('p',), 1.0)
-    assert not suspects.left_s('p', 1.0)
-    suspects.note_crash(('p',), 5.0)
-    assert suspects.left_s('p', 5.0) == pytest.approx(QUARANTINE_S)
-    assert not suspects.left_s('p', 5.0 + QUARANTINE_S)
-    suspects.note_crash(('p',), 70.0)
-    assert suspects.left_s('p', 70.0)
+    suspects.add_crash(('p',), 1.0)
+    assert not suspects.quarantine_left_s('p', 1.0)
+    suspects.add_crash(('p',), 5.0)
+    assert suspects.quarantine_left_s('p', 5.0) == pytest.approx(QUARANTINE_S)
+    assert not suspects.quarantine_left_s('p', 5.0 + QUARANTINE_S)
+    suspects.add_crash(('p',), 70.0)
+    assert suspects.quarantine_left_s('p', 70.0)
 
 
-@pytest.mark.parametrize('beside', [2, 5, 20])
-def test_three_crashes_are_enough_however_much_runs_beside(beside) -> None:
-    """A request crashes three full servers, one after the other.
+@pytest.mark.parametrize('others_count', [2, 5, 20])
+def test_three_crashes_are_enough_with_any_concurrency(others_count) -> None:
+    """One request crashes three fully loaded servers in turn.
 
-    Each time other work broke off with it. What ran beside it once is not
-    refused; the request that ran each time is.
+    The request that ran at all of them is refused; requests that ran at only
+    one of them are not.
     """
     suspects = Suspects()
     for crash in range(3):
-        others = tuple(f'{crash}-{each}' for each in range(beside))
-        suspects.note_crash(('p', *others), float(crash))
-    assert suspects.left_s('p', 3.0)
+        others = tuple(f'{crash}-{each}' for each in range(others_count))
+        suspects.add_crash(('p', *others), float(crash))
+    assert suspects.quarantine_left_s('p', 3.0)
     assert not any(
-        suspects.left_s(f'{crash}-{each}', 3.0)
+        suspects.quarantine_left_s(f'{crash}-{each}', 3.0)
         for crash in range(3)
-        for each in range(beside)
+        for each in range(others_count)
     )
 
 
-def test_what_servers_answer_is_not_refused() -> None:
-    """Servers of a zone lose power together while one path is much asked for.
+def test_answered_request_is_not_refused() -> None:
+    """A popular request was refused for a minute after a zone lost power.
 
-    It ran at each of them, and nobody could read that page for a minute. It
-    is answered all the time, before and after.
+    It was running at each of the servers, but it was also answered all the
+    time, before and after.
     """
     suspects = Suspects()
-    suspects.note_answered('p', 1.0)
+    suspects.add_answer('p', 1.0)
     for _ in range(10):
-        suspects.note_crash(('p',), 2.0)
-    assert not suspects.left_s('p', 2.0)
-    suspects.note_crash(('q',), 3.0)
-    suspects.note_answered('q', 4.0)
-    suspects.note_crash(('q',), 5.0 + INNOCENT_S)
-    assert not suspects.left_s('q', 5.0 + INNOCENT_S)
+        suspects.add_crash(('p',), 2.0)
+    assert not suspects.quarantine_left_s('p', 2.0)
+    suspects.add_crash(('q',), 3.0)
+    suspects.add_answer('q', 4.0)
+    suspects.add_crash(('q',), 5.0 + CLEARED_S)
+    assert not suspects.quarantine_left_s('q', 5.0 + CLEARED_S)
 
 
-def test_innocents_are_hardly_ever_refused() -> None:
-    """400 crashes by other causes, among requests of which some are popular.
-
-    The share of requests that were refused wrongly is at most one in a
-    thousand of those that came.
-    """
-    chance = random.Random(7)
+def test_false_positives_are_rare() -> None:
+    """After 400 unrelated crashes, at most 0.1 % of requests are refused."""
+    rng = random.Random(7)
     suspects = Suspects()
     asked = 0
     refused = 0
@@ -95,63 +91,63 @@
         for _ in range(50):
             now += 0.01
             asked += 1
-            digest = f'p{int(chance.paretovariate(1.1))}'
-            if suspects.left_s(digest, now):
+            digest = f'p{int(rng.paretovariate(1.1))}'
+            if suspects.quarantine_left_s(digest, now):
                 refused += 1
             else:
-                suspects.note_answered(digest, now)
-        ran = tuple(f'p{int(chance.paretovariate(1.1))}' for _ in range(SLOTS))
-        suspects.note_crash(ran, now)
+                suspects.add_answer(digest, now)
+        ran = tuple(f'p{int(rng.paretovariate(1.1))}' for _ in range(SLOTS))
+        suspects.add_crash(ran, now)
     assert refused <= asked / 1000
 
 
-def test_what_is_kept_is_bounded() -> None:
+def test_stored_entries_are_bounded() -> None:
     suspects = Suspects()
     for each in range(2 * MAX_SUSPECTS):
-        suspects.note_crash((f'p{each}',), 1.0)
+        suspects.add_crash((f'p{each}',), 1.0)
     for each in range(2 * MAX_ANSWERED):
-        suspects.note_answered(f'a{each}', 1.0)
+        suspects.add_answer(f'a{each}', 1.0)
     assert len(suspects._suspect_by_digest) == MAX_SUSPECTS
     assert len(suspects._answered_at) == MAX_ANSWERED
 
 
-def watch(*running: str) -> CrashWatch:
-    watching = CrashWatch(Suspects())
+def make_detector(*running: str) -> CrashDetector:
+    detector = CrashDetector(Suspects())
     for each in running:
-        watching.on_sent(each)
-    return watching
+        detector.on_sent(each)
+    return detector
 
 
-def test_what_broke_together_ran_at_the_crash() -> None:
-    watching = watch('a', 'b')
-    watching.on_broken('a', 1.0)
-    watching.on_broken('b', 1.01)
-    assert watching.on_down(1.5) == ('a', 'b')
-    assert not watching.on_down(1.6)
+def test_simultaneous_breaks_are_a_crash() -> None:
+    detector = make_detector('a', 'b')
+    detector.on_broken('a', 1.0)
+    detector.on_broken('b', 1.01)
+    assert detector.on_down(1.5) == ('a', 'b')
+    assert not detector.on_down(1.6)
 
 
-def test_a_lost_answer_is_no_crash() -> None:
-    """One connection is reset, and the server goes on with the rest."""
-    watching = watch('a', 'b')
-    watching.on_broken('a', 1.0)
-    watching.on_answered('b', 1.1)
-    assert not watching.on_down(1.2)
+def test_lost_response_is_no_crash() -> None:
+    """One connection is reset while the server answers the others."""
+    detector = make_detector('a', 'b')
+    detector.on_broken('a', 1.0)
+    detector.on_answered('b', 1.1)
+    assert not detector.on_down(1.2)
 
 
-def test_a_server_too_busy_to_connect_to_has_not_crashed() -> None:
-    watching = watch('a', 'b')
-    watching.on_broken('a', 1.0)
-    assert not watching.on_down(1.1)
+def test_server_too_busy_to_accept_connections_has_not_crashed() -> None:
+    detector = make_detector('a', 'b')
+    detector.on_broken('a', 1.0)
+    assert not detector.on_down(1.1)
 
 
-def test_what_broke_before_is_another_matter() -> None:
-    watching = watch('a', 'b')
-    watching.on_broken('a', 1.0)
-    watching.on_broken('b', 3.0)
-    assert watching.on_down(3.1) == ('b',)
+def test_earlier_break_does_not_belong_to_the_crash() -> None:
+    detector = make_detector('a', 'b')
+    detector.on_broken('a', 1.0)
+    detector.on_broken('b', 3.0)
+    assert detector.on_down(3.1) == ('b',)
 
 
-def test_what_ended_long_before_the_next_life_is_no_crash() -> None:
-    watching = watch('a')
-    watching.on_broken('a', 1.0)
-    assert not watching.on_down(60.0)
+def test_break_long_before_the_next_incarnation_is_no_crash() -> None:
+    detector = make_detector('a')
+    detector.on_broken('a', 1.0)
+    assert not detector.on_down(60.0)
--- a/tests/requests/test_usual_deadlines.py
+++ b/tests/requests/test_usual_deadlines.py
@@ -1,4 +1,4 @@
-"""How long a caller has been waiting, by its deadline."""
+"""Tests of the estimate of how long a caller has been waiting."""
 
 import random
 
@@ -7,15 +7,15 @@
 from plantaingrade.requests.usual_deadlines import (
     HALVE_AFTER,
     MIN_WAITED_S,
-    Patience,
+    UsualDeadlines,
 )
 
 
-class SlowPatience:
-    """The same, looking through every deadline each time."""
+class NaiveUsualDeadlines:
+    """Reference implementation that searches all deadlines each time."""
 
     def __init__(self) -> None:
-        """Know no deadlines."""
+        """Start without any deadlines."""
         self.counts: dict[str, dict[int, float]] = {}
         self.seen = 0
 
@@ -33,31 +33,31 @@
         return waited_s if waited_s >= MIN_WAITED_S else 0.0
 
 
-def test_a_caller_that_came_back_has_waited() -> None:
-    patience = Patience()
+def test_shortened_deadline_counts_as_waiting() -> None:
+    usual = UsualDeadlines()
     for _ in range(10):
-        assert not patience.waited_s('a', 1500)
-    assert patience.waited_s('a', 1100) == pytest.approx(0.4)
-    assert not patience.waited_s('a', 1495)
-    assert not patience.waited_s('a', 2000)
+        assert not usual.waited_s('a', 1500)
+    assert usual.waited_s('a', 1100) == pytest.approx(0.4)
+    assert not usual.waited_s('a', 1495)
+    assert not usual.waited_s('a', 2000)
 
 
-def test_a_new_usual_deadline_takes_the_place_of_the_old_one() -> None:
-    patience = Patience()
+def test_new_usual_deadline_replaces_the_old_one() -> None:
+    usual = UsualDeadlines()
     for _ in range(HALVE_AFTER):
-        patience.waited_s('a', 1500)
+        usual.waited_s('a', 1500)
     for _ in range(HALVE_AFTER * 2):
-        patience.waited_s('a', 900)
-    assert patience.waited_s('a', 700) == pytest.approx(0.2)
+        usual.waited_s('a', 900)
+    assert usual.waited_s('a', 700) == pytest.approx(0.2)
 
 
-def test_any_run_of_deadlines_is_judged_as_by_looking_through_all() -> None:
+def test_results_match_a_search_over_all_deadlines() -> None:
     for seed in range(40):
         draw = random.Random(seed)
-        patience, slow = Patience(), SlowPatience()
+        usual, naive = UsualDeadlines(), NaiveUsualDeadlines()
         spread = draw.choice((2, 5, 40, 400))
         for _ in range(HALVE_AFTER * 5):
             route = draw.choice('ab')
             deadline = 1500 - draw.randrange(spread) * draw.choice((1, 30))
-            waited_s = patience.waited_s(route, deadline)
-            assert waited_s == slow.waited_s(route, deadline)
+            waited_s = usual.waited_s(route, deadline)
+            assert waited_s == naive.waited_s(route, deadline)
