--- a/plantaingrade/placement/__init__.py
+++ b/plantaingrade/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Who should own and succeed what, as the decider sees it."""
+"""Placement of slices: planning of their owners and successors."""
--- a/plantaingrade/placement/loads.py
+++ b/plantaingrade/placement/loads.py
@@ -1,4 +1,4 @@
-"""Find the least loaded server quickly."""
+"""Find the least loaded server efficiently."""
 
 import heapq
 from collections import defaultdict
@@ -11,16 +11,16 @@
 
 
 class LoadHeaps:
-    """Servers by load, one heap for each availability zone.
+    """Heaps of servers by load, one for each availability zone.
 
-    A choice costs the logarithm of the number of servers, not the number
-    itself: after the loss of a zone thousands of slices need one each.
+    A lookup takes logarithmic time in the number of servers: after the loss of
+    a zone, it is needed for each of thousands of slices.
     """
 
     __slots__ = ('_heap_by_zone', '_load_of', '_row_by_member')
 
     def __init__(self, rows: Iterable[MemberRow], load_of: LoadOf) -> None:
-        """Sort the servers by their present load."""
+        """Build the heaps from the current loads."""
         self._load_of = load_of
         self._row_by_member = {row.member: row for row in rows}
         self._heap_by_zone: dict[str, list[Entry]] = defaultdict(list)
--- a/plantaingrade/placement/policy.py
+++ b/plantaingrade/placement/policy.py
@@ -1,7 +1,7 @@
-"""Decide who should own and succeed what.
+"""Plan the owners and successors of slices.
 
-Pure code over the tables of the map: no I/O, no clock. Each system looks at
-one kind of gap and yields the changes that close it.
+Pure functions of the map's state, without I/O or a clock. Each planning step
+finds one kind of deviation and yields the changes that correct it.
 """
 
 from collections import Counter, defaultdict
@@ -36,24 +36,29 @@
 
 @dataclass(slots=True)
 class ServiceView:
-    """One service's slices and the servers that can take them."""
+    """Slices of one service and the servers that can own them.
+
+    The counters include the changes that are planned already.
+    """
 
     state: MapState
     slices: list[SliceRow]
     eligible: list[MemberRow]
     owned_by_member: Counter[str] = field(default_factory=Counter)
-    backing_by_member: Counter[str] = field(default_factory=Counter)
-    backers_by_owner: dict[str, Counter[str]] = field(
+    succeeding_by_member: Counter[str] = field(default_factory=Counter)
+    successors_by_owner: dict[str, Counter[str]] = field(
         default_factory=lambda: defaultdict(Counter),
     )
     by_share: LoadHeaps = field(init=False)
-    by_burden: LoadHeaps = field(init=False)
+    by_potential_load: LoadHeaps = field(init=False)
 
     @classmethod
     def from_state(cls, state: MapState, service: str) -> 'ServiceView':
-        """Collect the rows of one service."""
+        """Collect the slices and servers of one service."""
         slices = [
-            part for part in state.slices.values() if part.service == service
+            slice_row
+            for slice_row in state.slices.values()
+            if slice_row.service == service
         ]
         eligible = [
             row
@@ -61,67 +66,75 @@
             if row.service == service and row.state is MemberState.READY
         ]
         view = cls(state, slices, eligible)
-        for part in slices:
-            view.owned_by_member[part.wanted_owner or part.owner or ''] += 1
-            if part.successor is not None:
-                view.back(part, part.successor)
+        for slice_row in slices:
+            view.owned_by_member[
+                slice_row.wanted_owner or slice_row.owner or ''
+            ] += 1
+            if slice_row.successor is not None:
+                view.add_successor(slice_row, slice_row.successor)
         view.by_share = LoadHeaps(eligible, view.share)
-        view.by_burden = LoadHeaps(eligible, view.burden)
+        view.by_potential_load = LoadHeaps(eligible, view.potential_share)
         return view
 
     def share(self, row: MemberRow) -> float:
-        """Return a server's slices per slot."""
+        """Return the number of owned slices per slot of a server."""
         return self.owned_by_member[row.member] / row.slots
 
-    def burden(self, row: MemberRow) -> float:
-        """Return a server's slices per slot after all its takeovers."""
+    def potential_share(self, row: MemberRow) -> float:
+        """Return the slices per slot of a server after all its takeovers."""
         member = row.member
         owned = self.owned_by_member[member]
-        return (owned + self.backing_by_member[member]) / row.slots
+        return (owned + self.succeeding_by_member[member]) / row.slots
 
-    def best_successor(self, part: SliceRow) -> MemberRow | None:
+    def best_successor(self, slice_row: SliceRow) -> MemberRow | None:
         """Return the server that should take over if the owner is lost.
 
-        Another zone than the owner's goes first, then the server that would
-        carry the least after all the takeovers it is named for.
+        Servers outside the owner's zone are preferred, then the server with
+        the least load after all takeovers for which it is the successor.
         """
-        owner = self.state.members.get(part.owner or '')
+        owner = self.state.members.get(slice_row.owner or '')
         zone = owner.zone if owner else ''
-        never = {part.owner, part.successor}
-        crowded = never | self._crowded(part.owner or '')
-        return self.by_burden.least(crowded, zone) or self.by_burden.least(
-            never,
+        excluded = {slice_row.owner, slice_row.successor}
+        excluded_or_overused = excluded | self._overused_successors(
+            slice_row.owner or ''
+        )
+        return self.by_potential_load.least(
+            excluded_or_overused, zone
+        ) or self.by_potential_load.least(
+            excluded,
             zone,
         )
 
-    def back(self, part: SliceRow, member: str) -> None:
-        """Note that a server will be a slice's successor."""
-        self.backing_by_member[member] += 1
-        self.backers_by_owner[part.owner or ''][member] += 1
+    def add_successor(self, slice_row: SliceRow, member: str) -> None:
+        """Count a server as the successor of a slice."""
+        self.succeeding_by_member[member] += 1
+        self.successors_by_owner[slice_row.owner or ''][member] += 1
 
-    def _crowded(self, owner: str) -> set[str]:
-        """Return the servers that back more of an owner than their part.
+    def _overused_successors(self, owner: str) -> set[str]:
+        """Return the successors of more than a fair share of an owner's slices.
 
-        Else one server is overloaded when the other is lost.
+        Without this limit, the loss of the owner could overload one of them.
         """
-        backers = self.backers_by_owner[owner]
-        part = backers.total() // max(1, len(self.eligible) - 1)
-        return {member for member, count in backers.items() if count > part}
+        successors = self.successors_by_owner[owner]
+        fair_count = successors.total() // max(1, len(self.eligible) - 1)
+        return {
+            member for member, count in successors.items() if count > fair_count
+        }
 
 
 def plan(state: MapState) -> list[Change]:
-    """Return the next changes, at most one record full."""
-    return list(islice(_gaps(state), MAX_CHANGES_PER_RECORD))
+    """Return the next changes, at most as many as fit into one record."""
+    return list(islice(_needed_changes(state), MAX_CHANGES_PER_RECORD))
 
 
-def _gaps(state: MapState) -> Iterator[Change]:
+def _needed_changes(state: MapState) -> Iterator[Change]:
     for service in state.services:
         view = ServiceView.from_state(state, service)
         if view.eligible:
             yield from _assign_unowned(view)
             yield from _name_successors(view)
             yield from _replace_successors(view)
-            yield from _drive_moves(view)
+            yield from _start_moves(view)
             yield from _balance(view)
 
 
@@ -132,114 +145,122 @@
 ) -> list[Change]:
     """Return successors for slices that a member is taking over.
 
-    The taker names a successor in the same record: an outage of the table
-    service may follow, and then another loss.
+    The new owner names them in the record of the takeover, because the table
+    service may become unavailable and this owner may be lost as well.
     """
     changes: list[Change] = []
     view_by_service: dict[str, ServiceView] = {}
     for slice_id in slice_ids:
-        part = replace(state.slices[slice_id], owner=member, successor=None)
+        slice_row = replace(
+            state.slices[slice_id], owner=member, successor=None
+        )
         view = view_by_service.setdefault(
-            part.service,
-            ServiceView.from_state(state, part.service),
+            slice_row.service,
+            ServiceView.from_state(state, slice_row.service),
         )
-        target = view.best_successor(part)
+        target = view.best_successor(slice_row)
         if target is not None:
-            view.back(part, target.member)
+            view.add_successor(slice_row, target.member)
             changes.append(SuccessorNamed(slice_id, target.member))
     return changes
 
 
 def _assign_unowned(view: ServiceView) -> Iterator[Change]:
-    for part in view.slices:
-        if part.owner is None:
+    for slice_row in view.slices:
+        if slice_row.owner is None:
             target = view.by_share.least()
             view.owned_by_member[target.member] += 1
-            yield Assigned(part.slice_id, target.member)
+            yield Assigned(slice_row.slice_id, target.member)
 
 
 def _name_successors(view: ServiceView) -> Iterator[Change]:
-    for part in view.slices:
-        if part.owner is None or part.successor is not None:
+    for slice_row in view.slices:
+        if slice_row.owner is None or slice_row.successor is not None:
             continue
-        target = view.best_successor(part)
+        target = view.best_successor(slice_row)
         if target is not None:
-            view.back(part, target.member)
-            yield SuccessorNamed(part.slice_id, target.member)
+            view.add_successor(slice_row, target.member)
+            yield SuccessorNamed(slice_row.slice_id, target.member)
 
 
 def _replace_successors(view: ServiceView) -> Iterator[Change]:
-    for part in view.slices:
-        settled = part.next_successor is None and part.moving is None
-        if not settled or part.successor is None:
+    for slice_row in view.slices:
+        is_stable = (
+            slice_row.next_successor is None and slice_row.moving is None
+        )
+        if not is_stable or slice_row.successor is None:
             continue
-        if is_over(view.state, part.owner):
+        if is_over(view.state, slice_row.owner):
             continue
-        wanted = _wanted_successor(view, part)
+        wanted = _wanted_successor(view, slice_row)
         if wanted is not None:
-            view.back(part, wanted)
-            yield SuccessorWished(part.slice_id, wanted)
+            view.add_successor(slice_row, wanted)
+            yield SuccessorWished(slice_row.slice_id, wanted)
 
 
-def _wanted_successor(view: ServiceView, part: SliceRow) -> str | None:
-    if part.wanted_owner is not None:
-        right = part.successor == part.wanted_owner
-        return None if right else part.wanted_owner
-    if is_eligible(view.state, part.successor):
+def _wanted_successor(view: ServiceView, slice_row: SliceRow) -> str | None:
+    if slice_row.wanted_owner is not None:
+        is_named = slice_row.successor == slice_row.wanted_owner
+        return None if is_named else slice_row.wanted_owner
+    if is_eligible(view.state, slice_row.successor):
         return None
-    better = view.best_successor(part)
+    better = view.best_successor(slice_row)
     return None if better is None else better.member
 
 
-def _drive_moves(view: ServiceView) -> Iterator[Change]:
-    for part in view.slices:
-        if not _can_move(view, part):
+def _start_moves(view: ServiceView) -> Iterator[Change]:
+    for slice_row in view.slices:
+        if not _can_move(view, slice_row):
             continue
-        if part.wanted_owner == part.successor:
-            yield Moving(part.slice_id, part.wanted_by)
-        elif _must_leave(view, part):
-            yield Moving(part.slice_id, DRAIN_ID)
+        if slice_row.wanted_owner == slice_row.successor:
+            yield Moving(slice_row.slice_id, slice_row.wanted_by)
+        elif _must_move_away(view, slice_row):
+            yield Moving(slice_row.slice_id, DRAIN_ID)
 
 
-def _can_move(view: ServiceView, part: SliceRow) -> bool:
-    """Tell whether owner and successor can hand the slice over now."""
-    if part.moving is not None or part.next_successor is not None:
+def _can_move(view: ServiceView, slice_row: SliceRow) -> bool:
+    """Return whether the slice can be transferred to its successor now."""
+    if slice_row.moving is not None or slice_row.next_successor is not None:
         return False
-    if part.owner is None or is_over(view.state, part.owner):
+    if slice_row.owner is None or is_over(view.state, slice_row.owner):
         return False
-    return is_eligible(view.state, part.successor)
+    return is_eligible(view.state, slice_row.successor)
 
 
-def _must_leave(view: ServiceView, part: SliceRow) -> bool:
-    """Tell whether the slice has to leave a draining owner."""
-    unwanted = part.wanted_owner is None
-    return unwanted and not is_eligible(view.state, part.owner)
+def _must_move_away(view: ServiceView, slice_row: SliceRow) -> bool:
+    """Return whether the slice has to move away from a draining owner."""
+    unwanted = slice_row.wanted_owner is None
+    return unwanted and not is_eligible(view.state, slice_row.owner)
 
 
 def _balance(view: ServiceView) -> Iterator[Change]:
-    """Move a few slices from the fullest server to the emptiest one."""
-    busy = sum(
-        part.moving is not None or part.wanted_owner is not None
-        for part in view.slices
+    """Move a few slices from the most to the least loaded server."""
+    in_progress = sum(
+        slice_row.moving is not None or slice_row.wanted_owner is not None
+        for slice_row in view.slices
     )
-    for _ in range(MAX_MOVES_IN_PROGRESS - busy):
+    for _ in range(MAX_MOVES_IN_PROGRESS - in_progress):
         low = view.by_share.least()
         high = max(view.eligible, key=view.share)
         surplus = view.owned_by_member[high.member] * low.slots / high.slots
         if surplus - view.owned_by_member[low.member] < MOVE_THRESHOLD:
             return
-        part = _movable(view, high.member)
-        if part is None:
+        slice_row = _find_movable(view, high.member)
+        if slice_row is None:
             return
         view.owned_by_member[high.member] -= 1
         view.owned_by_member[low.member] += 1
-        part_wish = OwnerWished(part.slice_id, low.member, BALANCE_ID)
-        yield part_wish
-
-
-def _movable(view: ServiceView, owner: str) -> SliceRow | None:
-    for part in view.slices:
-        free = part.moving is None and part.wanted_owner is None
-        if part.owner == owner and free and part.next_successor is None:
-            return part
+        change = OwnerWished(slice_row.slice_id, low.member, BALANCE_ID)
+        yield change
+
+
+def _find_movable(view: ServiceView, owner: str) -> SliceRow | None:
+    for slice_row in view.slices:
+        is_idle = slice_row.moving is None and slice_row.wanted_owner is None
+        if (
+            slice_row.owner == owner
+            and is_idle
+            and slice_row.next_successor is None
+        ):
+            return slice_row
     return None
--- a/tests/placement/test_policy.py
+++ b/tests/placement/test_policy.py
@@ -1,4 +1,4 @@
-"""The decider's plan: gaps closed, little moved, nothing without cause."""
+"""Tests of the placement plans of the decider."""
 
 from collections import Counter
 
@@ -45,128 +45,145 @@
     )
 
 
-def _settled(servers: int = 6, slices: int = 24) -> MapState:
+def _stable_state(servers: int = 6, slices: int = 24) -> MapState:
     state = MapState()
     service = ServiceRow(SERVICE, slices, True, 400)
     append(state, Declared('', 0, (service,)))
     for number in range(servers):
         append(state, Announced(_row(f's{number}', f'z{number % ZONES}')))
-    _settle(state)
+    _plan_until_stable(state)
     return state
 
 
-def _settle(state: MapState) -> int:
-    """Plan and carry out until nothing is left; return the takes."""
-    takes = 0
+def _plan_until_stable(state: MapState) -> int:
+    """Plan and execute until no changes are left; return the takeovers."""
+    takeovers = 0
     for _ in range(200):
         changes = plan(state)
         if not changes:
-            return takes
+            return takeovers
         append(state, *changes)
-        takes += _carry_out(state)
-    raise AssertionError('the plan never ends')
-
-
-def _carry_out(state: MapState) -> int:
-    """Do what owners and successors do when all goes well."""
-    takes = 0
-    for part in list(state.slices.values()):
-        place = (part.slice_id, part.successor, part.successor_fence)
-        if part.next_successor is not None:
-            append(state, Renounced(*place))
-        elif part.moving is not None:
-            append(state, Took(*place))
-            takes += 1
-    return takes
+        takeovers += _execute(state)
+    raise AssertionError('planning does not converge')
+
+
+def _execute(state: MapState) -> int:
+    """Execute the changes as owners and successors do without failures."""
+    takeovers = 0
+    for slice_row in list(state.slices.values()):
+        arguments = (
+            slice_row.slice_id,
+            slice_row.successor,
+            slice_row.successor_fence,
+        )
+        if slice_row.next_successor is not None:
+            append(state, Renounced(*arguments))
+        elif slice_row.moving is not None:
+            append(state, Took(*arguments))
+            takeovers += 1
+    return takeovers
 
 
 def _owned(state: MapState) -> Counter[str]:
-    return Counter(part.owner for part in state.slices.values())
+    return Counter(slice_row.owner for slice_row in state.slices.values())
 
 
-def test_settled_service_is_even_and_backed_elsewhere() -> None:
-    """Every slice has an owner, and a successor in another zone."""
-    state = _settled()
+def test_stable_service_is_even_with_successors_in_other_zones() -> None:
+    """Each slice has an owner, and a successor in another zone."""
+    state = _stable_state()
     assert set(_owned(state).values()) == {4}
-    for part in state.slices.values():
+    for slice_row in state.slices.values():
         zones = {
-            state.members[name].zone for name in (part.owner, part.successor)
+            state.members[name].zone
+            for name in (slice_row.owner, slice_row.successor)
         }
         assert len(zones) == 2
 
 
-def test_settled_service_is_left_alone() -> None:
-    """Nothing happens, so nothing moves."""
-    assert not plan(_settled())
+def test_stable_service_needs_no_changes() -> None:
+    """Without events, no slice moves."""
+    assert not plan(_stable_state())
 
 
-def test_slots_count() -> None:
+def test_share_is_proportional_to_slots() -> None:
     """A server with twice the slots owns twice as much."""
     state = MapState()
     append(state, Declared('', 0, (ServiceRow(SERVICE, 24, True, 400),)))
     append(state, Announced(_row('small', 'z0', 6)))
     append(state, Announced(_row('large', 'z1', 12)))
-    _settle(state)
+    _plan_until_stable(state)
     assert _owned(state) == {'small': 8, 'large': 16}
 
 
-def test_newcomer_gets_its_share_in_few_moves() -> None:
+def test_new_server_gets_its_share_in_few_moves() -> None:
     """A server joins: it gets a fair share, and no slice moves twice."""
-    state = _settled()
+    state = _stable_state()
     append(state, Announced(_row('new', 'z0')))
-    takes = _settle(state)
+    takeovers = _plan_until_stable(state)
     assert _owned(state)['new'] >= 2
-    assert takes <= 4
+    assert takeovers <= 4
 
 
 def test_moves_in_progress_are_bounded() -> None:
-    """A newcomer does not set half the service in motion at once."""
-    state = _settled(2, 48)
+    """A new server does not cause moves of half the service at once."""
+    state = _stable_state(2, 48)
     append(state, Announced(_row('new', 'z2')))
     moves = [each for each in plan(state) if isinstance(each, OwnerWished)]
     assert 1 <= len(moves) <= MAX_MOVES_IN_PROGRESS
 
 
-def test_drained_server_is_emptied_into_others() -> None:
-    """A drained server loses every slice, and is nobody's successor."""
-    state = _settled()
+def test_drained_server_loses_all_slices() -> None:
+    """A drained server owns no slice and is no successor."""
+    state = _stable_state()
     append(state, StateSet('s0', MemberState.DRAINING))
-    _settle(state)
+    _plan_until_stable(state)
     assert not _owned(state)['s0']
-    assert 's0' not in {part.successor for part in state.slices.values()}
+    assert 's0' not in {
+        slice_row.successor for slice_row in state.slices.values()
+    }
 
 
 @pytest.mark.parametrize('lost', [['s0'], ['s0', 's3']])
-def test_loss_overloads_nobody(lost: list[str]) -> None:
-    """A server, or a zone, is lost: its slices are spread over the rest."""
-    state = _settled()
+def test_loss_overloads_no_server(lost: list[str]) -> None:
+    """The slices of a lost server or zone are spread over the others."""
+    state = _stable_state()
     for name in lost:
         append(state, Ended(name, Proof.TESTIMONY, 1))
-    for part in list(state.slices.values()):
-        if part.owner in lost and part.successor is not None:
+    for slice_row in list(state.slices.values()):
+        if slice_row.owner in lost and slice_row.successor is not None:
             append(
                 state,
-                Took(part.slice_id, part.successor, part.successor_fence),
+                Took(
+                    slice_row.slice_id,
+                    slice_row.successor,
+                    slice_row.successor_fence,
+                ),
             )
     fair = 24 / (6 - len(lost))
     assert max(_owned(state).values()) <= fair + 2
-    _settle(state)
+    _plan_until_stable(state)
     assert max(_owned(state).values()) <= fair + 1
 
 
-def test_command_goes_before_balance() -> None:
-    """An operator's move goes on though it makes the service less even."""
-    state = _settled()
-    part = next(part for part in state.slices.values() if part.owner == 's0')
-    append(state, OwnerWished(part.slice_id, part.successor, 'c1'))
-    assert Moving(part.slice_id, 'c1') in plan(state)
+def test_command_has_precedence_over_balance() -> None:
+    """An operator's move is executed although it unbalances the service."""
+    state = _stable_state()
+    slice_row = next(
+        slice_row
+        for slice_row in state.slices.values()
+        if slice_row.owner == 's0'
+    )
+    append(state, OwnerWished(slice_row.slice_id, slice_row.successor, 'c1'))
+    assert Moving(slice_row.slice_id, 'c1') in plan(state)
 
 
 def test_own_successors_are_spread() -> None:
-    """Whoever takes several slices does not back them all by one server."""
-    state = _settled()
+    """A server that takes over slices names more than one successor."""
+    state = _stable_state()
     taken = [
-        part.slice_id for part in state.slices.values() if part.owner == 's1'
+        slice_row.slice_id
+        for slice_row in state.slices.values()
+        if slice_row.owner == 's1'
     ]
     named = name_own_successors(state, 's0', taken)
     assert len({change.member for change in named}) >= 2
@@ -180,29 +197,29 @@
     added=st.lists(st.integers(0, 11), max_size=6),
 )
 @settings(derandomize=True, deadline=None)
-def test_heaps_choose_as_the_naive_way_does(
+def test_heaps_match_a_linear_search(
     loads: list[int],
     excluded: set[int],
     zone: int,
     added: list[int],
 ) -> None:
-    """Differential: the same as looking at every server, while loads rise."""
+    """The heaps return the same server as a linear search as loads rise."""
     load_by_member = {f's{number}': load for number, load in enumerate(loads)}
     rows = [
         _row(name, f'z{number % ZONES}')
         for number, name in enumerate(load_by_member)
     ]
     heaps = LoadHeaps(rows, lambda row: load_by_member[row.member])
-    without = {f's{number}' for number in excluded}
+    excluded_names = {f's{number}' for number in excluded}
 
-    def rank(row: MemberRow) -> tuple[bool, int, str]:
+    def sort_key(row: MemberRow) -> tuple[bool, int, str]:
         load = load_by_member[row.member]
         return row.zone == f'z{zone}', load, row.member
 
     added.append(0)
     for number in added:
-        candidates = [row for row in rows if row.member not in without]
-        expected = min(candidates, key=rank, default=None)
-        assert heaps.least(without, f'z{zone}') is expected
+        candidates = [row for row in rows if row.member not in excluded_names]
+        expected = min(candidates, key=sort_key, default=None)
+        assert heaps.least(excluded_names, f'z{zone}') is expected
         name = f's{number % len(loads)}'
         load_by_member[name] += 1
