--- a/plantaingrade/placement/coordinator.py
+++ b/plantaingrade/placement/coordinator.py
@@ -1,6 +1,6 @@
 """Elect the decider by a lease, and record its placement plans.
 
-The decider is the member that plans the placement, the leader among them.
+The decider is the elected leader, the only member that plans the placement.
 """
 
 import asyncio
--- a/plantaingrade/requests/const.py
+++ b/plantaingrade/requests/const.py
@@ -9,7 +9,7 @@
 # A connection to the server that was idle for longer is not used for requests
 # that are not idempotent: the server may have dropped it, and after a reset
 # it is unknown whether the request ran. A new connection takes 1 ms.
-MAX_IDLE_ONCE_S = 0.2
+MAX_IDLE_NON_IDEMPOTENT_S = 0.2
 # Part of the latency objective spent on the network between a caller and this
 # instance: about 8 ms each way, and another round trip for a new connection.
 CALLER_NETWORK_S = 0.02
--- a/plantaingrade/requests/hop.py
+++ b/plantaingrade/requests/hop.py
@@ -30,7 +30,7 @@
 HEADER_OWNER = b'w'
 HEADER_LOAD = b'l'
 MARK_IDEMPOTENT = 'i'
-MARK_ONCE = 'o'
+MARK_NON_IDEMPOTENT = 'o'
 MARK_NOT_RUN = 'n'
 MARK_UNKNOWN = 'u'
 NO_KEY = ''
@@ -85,7 +85,7 @@
             str(_ms(routed.until - now)),
             str(_ms(routed.due - now)),
             str(routed.priority),
-            MARK_IDEMPOTENT if routed.is_idempotent else MARK_ONCE,
+            MARK_IDEMPOTENT if routed.is_idempotent else MARK_NON_IDEMPOTENT,
             NO_KEY if caller.key is None else str(caller.key),
             routed.service,
             routed.caller_service,
--- a/plantaingrade/requests/server_path.py
+++ b/plantaingrade/requests/server_path.py
@@ -24,7 +24,7 @@
     DEFAULT_RETRY_AFTER_S,
     HOLD_POLL_S,
     MAP_WAIT_S,
-    MAX_IDLE_ONCE_S,
+    MAX_IDLE_NON_IDEMPOTENT_S,
     MAX_SKIPPED_ANSWERS,
     MIN_TRY_S,
     SERVER_GRACE_S,
@@ -340,7 +340,7 @@
         self, routed: RoutedRequest, left_s: float
     ) -> Outcome:
         instance = self._life.instance
-        max_idle_s = None if routed.is_idempotent else MAX_IDLE_ONCE_S
+        max_idle_s = None if routed.is_idempotent else MAX_IDLE_NON_IDEMPOTENT_S
         address = self._codec.address
         try:
             channel = await self._pool.acquire(address, max_idle_s=max_idle_s)
--- a/tests/requests/test_coordinator.py
+++ b/tests/requests/test_coordinator.py
@@ -51,7 +51,7 @@
 NO_LOADS: Mapping[str, Load] = MappingProxyType({})
 
 
-async def async_poll_nobody(*_) -> dict[str, Room]:
+async def async_poll_no_capacity(*_) -> dict[str, Room]:
     """Return no free capacity of any member."""
     return {}
 
@@ -139,7 +139,7 @@
                 pulled,
                 lambda _: None,
                 lambda name, _: load_by_name.get(name),
-                async_poll_nobody,
+                async_poll_no_capacity,
             ),
             paths,
             paths,
