--- a/bench/leases.py
+++ b/bench/leases.py
@@ -98,7 +98,7 @@
             leases.tick()
         await asyncio.sleep(0.02)
     cpu = process_time() - began
-    held = sum(leases.until() > clock.now() for leases in members)
+    held = sum(leases.expires_at() > clock.now() for leases in members)
     assert held == nodes, 'leases were lost; the machine was too slow'
     for endpoint in endpoints:
         endpoint.close()
--- a/lab/keys.py
+++ b/lab/keys.py
@@ -34,7 +34,7 @@
         self.free_at = 0.0
         self.changes = 0
         self.conflicts = 0
-        maps.offer(service, split_evenly(names).at_version(1))
+        maps.update_if_newer(service, split_evenly(names).at_version(1))
 
     async def async_change(self, owner_by_keys: dict[KeyRange, str]) -> bool:
         """Take a turn; tell whether nobody else changed the map meanwhile."""
@@ -47,7 +47,9 @@
         if is_done:
             self.changes += 1
             changed = reassign(known, owner_by_keys)
-            self.maps.offer(self.service, changed.at_version(known.version + 1))
+            self.maps.update_if_newer(
+                self.service, changed.at_version(known.version + 1)
+            )
         else:
             self.conflicts += 1
         await asyncio.sleep(STORE_WAY_S)
--- a/plantaingrade/holds/registry.py
+++ b/plantaingrade/holds/registry.py
@@ -386,7 +386,7 @@
         given = given_away(self.key_map, self.member.name, sent_by_id.values())
         if given:
             fence = max(self.key_map.fence, *(each.fence for each in given))
-            self._maps.suppose(self.member.service, given, fence)
+            self._maps.apply_unconfirmed(self.member.service, given, fence)
         self.follow_epoch()
         return CommitResult.FAILED
 
@@ -438,7 +438,7 @@
             self.turns.on_done()
             self.changed_from = write.base
             key_map = change.key_map.at_version(version)
-            self._maps.offer(self.member.service, key_map)
+            self._maps.update_if_newer(self.member.service, key_map)
 
     def _on_conflict(
         self,
--- a/plantaingrade/holds/rows.py
+++ b/plantaingrade/holds/rows.py
@@ -138,7 +138,9 @@
         """
         service = self._member.service
         if row.version > self._maps.find(service).version:
-            self._maps.offer(service, decode_map(row.body, row.version))
+            self._maps.update_if_newer(
+                service, decode_map(row.body, row.version)
+            )
 
     def _keep_unreadable(
         self, row: Row, known: dict[str, MemberRow], now_s: float
--- a/plantaingrade/keyspace/assign.py
+++ b/plantaingrade/keyspace/assign.py
@@ -28,7 +28,7 @@
     names = sorted(owners)
     if not names:
         return KeyMap((), 0)
-    ranges = cut(ALL_KEYS, len(names))
+    ranges = split_range(ALL_KEYS, len(names))
     fence = next_fence(NO_MAP, epoch)
     return KeyMap(
         tuple(
@@ -47,7 +47,7 @@
     return max(key_map.fence + 1, epoch * FENCES_PER_EPOCH + FIRST_FENCE)
 
 
-def cut(keys: KeyRange, pieces: int) -> list[KeyRange]:
+def split_range(keys: KeyRange, pieces: int) -> list[KeyRange]:
     """Return a range cut into pieces of about the same number of keys."""
     pieces = min(pieces, len(keys))
     size = len(keys)
--- a/plantaingrade/keyspace/directory.py
+++ b/plantaingrade/keyspace/directory.py
@@ -36,19 +36,19 @@
         """Return the map as the store's row of its version holds it."""
         return self._stored_by_service.get(service) or self.find(service)
 
-    def offer(self, service: str, key_map: KeyMap) -> bool:
+    def update_if_newer(self, service: str, key_map: KeyMap) -> bool:
         """Take a map if it is newer than the one known."""
         known = self.find(service)
         if key_map.version <= known.version:
             return False
-        lacks_nothing = service not in self._stored_by_service
-        if lacks_nothing and key_map.epoch == known.epoch:
+        matches_store = service not in self._stored_by_service
+        if matches_store and key_map.epoch == known.epoch:
             self._set(service, key_map)
         else:
             self._set_merged(service, merge(key_map, known), key_map)
         return True
 
-    def suppose(
+    def apply_unconfirmed(
         self, service: str, changes: tuple[Assignment, ...], fence: int
     ) -> None:
         """Go by changes that may have been made in an epoch that is over.
@@ -92,7 +92,7 @@
         key_map = overlay(known, changes, fence).at_version(version)
         if not is_complete(key_map):
             return False
-        return self.offer(service, key_map)
+        return self.update_if_newer(service, key_map)
 
 
 def differences(before: KeyMap, after: KeyMap) -> tuple[Assignment, ...]:
--- a/plantaingrade/leases/coordinator.py
+++ b/plantaingrade/leases/coordinator.py
@@ -85,17 +85,17 @@
         self._candidate: Witnessed | None = None
         self._lapsed_since: dict[tuple[str, int], float] = {}
 
-    def until(self) -> float:
+    def expires_at(self) -> float:
         """Return the end of this member's lease."""
-        return self.holder.until()
+        return self.holder.expires_at()
 
     def is_held(self) -> bool:
         """Tell whether this member holds its lease now."""
-        return self.until() > self._clock.now()
+        return self.expires_at() > self._clock.now()
 
-    def has_lapsed(self) -> bool:
+    def is_isolated(self) -> bool:
         """Tell whether the lease has been missing for some time."""
-        return self.until() + ORPHAN_AFTER_S < self._clock.now()
+        return self.expires_at() + ORPHAN_AFTER_S < self._clock.now()
 
     def tick(self) -> None:
         """Run each system over its table once."""
@@ -151,7 +151,7 @@
         self._row.epoch = epoch
         self._settled_at = self._clock.now()
 
-    def replacement(self) -> Witnessed | None:
+    def next_witness_change(self) -> Witnessed | None:
         """Return the change of witnesses to append now, if there is one.
 
         The holder first renews at the new witnesses, then requires them, and
@@ -182,7 +182,7 @@
         self._settled_at = now
         self._next_renewal_at = EARLIEST
 
-    def prove_again(self, member: str) -> None:
+    def reopen_poll(self, member: str) -> None:
         """Collect testimony anew, from the witnesses of the present epoch."""
         now = self._clock.now()
         poll = self.polls.proven_epoch(member)
--- a/plantaingrade/leases/holder.py
+++ b/plantaingrade/leases/holder.py
@@ -84,7 +84,7 @@
         if refusal.member == self.member:
             self._refused.add((refusal.epoch, refusal.witness))
 
-    def until(self) -> float:
+    def expires_at(self) -> float:
         """Return the end of the lease on this process's clock."""
         if not self._witnesses_by_epoch:
             return EARLIEST
--- a/plantaingrade/leases/witness.py
+++ b/plantaingrade/leases/witness.py
@@ -3,10 +3,10 @@
 from msgspec import Struct
 
 from plantaingrade.leases.const import (
-    DRIFT,
     LAPSE_NOTICE_EVERY_S,
     LAPSE_NOTICE_FOR_S,
     LEASE_S,
+    MAX_CLOCK_DRIFT,
 )
 from plantaingrade.leases.entity import (
     Ask,
@@ -51,7 +51,9 @@
         # incarnation: a holder that was paused may renew after it.
         if lease in self._ended:
             return RenewRefused(renew.member, renew.epoch, self.member)
-        self._grant_by_lease[lease] = Grant(now + LEASE_S * (1 + DRIFT))
+        self._grant_by_lease[lease] = Grant(
+            now + LEASE_S * (1 + MAX_CLOCK_DRIFT)
+        )
         return RenewAck(renew.member, renew.epoch, self.member, renew.sent_at)
 
     def on_ask(self, ask: Ask, now: float) -> Testimony:
--- a/plantaingrade/node/loops.py
+++ b/plantaingrade/node/loops.py
@@ -71,7 +71,7 @@
             parts.leases.tick()
             parts.ownership.tick()
             for owner in parts.ownership.outdated_proofs():
-                parts.leases.prove_again(owner)
+                parts.leases.reopen_poll(owner)
             await asyncio.sleep(TICK_S)
 
     async def _supervise_forever(self) -> None:
@@ -94,7 +94,7 @@
         serving = self._parts.backend.state in SERVING
         gone = self._parts.backend.state in GONE
         if serving:
-            self._parts.ownership.handover.stay()
+            self._parts.ownership.handover.cancel_leave()
         elif gone:
             self._parts.ownership.handover.leave()
         # Only a process that holds a lease is ready: one that reaches no
@@ -102,7 +102,7 @@
         leases = self._parts.leases
         if row.state is MemberState.STARTING and serving and leases.is_held():
             await self._set_state(MemberState.READY, row.state)
-        unfit = gone or leases.has_lapsed()
+        unfit = gone or leases.is_isolated()
         if row.state is MemberState.READY and unfit:
             await self._set_state(MemberState.STARTING, row.state)
 
@@ -113,7 +113,7 @@
     async def _witness_forever(self) -> None:
         while True:
             await asyncio.sleep(WITNESS_EVERY_S)
-            change = self._parts.leases.replacement()
+            change = self._parts.leases.next_witness_change()
             if change is not None:
                 await self.async_try_append(change)
 
@@ -121,8 +121,8 @@
         parts = self._parts
         while True:
             await asyncio.sleep(RENEW_EVERY_S)
-            if parts.ownership.work.total():
-                await parts.backend.async_extend(parts.leases.until())
+            if parts.ownership.in_flight.total():
+                await parts.backend.async_extend(parts.leases.expires_at())
 
     def _start(self, loop: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(loop)
--- a/plantaingrade/node/parts.py
+++ b/plantaingrade/node/parts.py
@@ -146,7 +146,10 @@
 
     def is_empty(self) -> bool:
         """Tell whether nothing is owned and nothing is in flight."""
-        return not self.ownership.held() and not self.ownership.work.total()
+        return (
+            not self.ownership.owned_slices()
+            and not self.ownership.in_flight.total()
+        )
 
     def _build_control(self) -> None:
         clock, send = self.clock, self.endpoint.send
@@ -156,7 +159,7 @@
             self.state,
             clock,
             send,
-            self.leases.until,
+            self.leases.expires_at,
         )
         self.journal.listen(self._on_record)
         self.membership = MembershipCoordinator(
--- a/plantaingrade/ownership/coordinator.py
+++ b/plantaingrade/ownership/coordinator.py
@@ -23,7 +23,7 @@
     Took,
 )
 from plantaingrade.journal.keys import find_slice, is_hot, parent_slice_id
-from plantaingrade.leases.const import DRIFT, LEASE_S
+from plantaingrade.leases.const import LEASE_S, MAX_CLOCK_DRIFT
 from plantaingrade.ownership.const import DRIFT_WAIT_S
 from plantaingrade.ownership.entity import (
     HandoverMessage,
@@ -37,8 +37,8 @@
     Unowned,
 )
 from plantaingrade.ownership.handover import HandoverSystem
+from plantaingrade.ownership.in_flight import InFlightRequests
 from plantaingrade.ownership.table import OwnershipTable
-from plantaingrade.ownership.work import WorkTable
 from plantaingrade.placement.policy import name_own_successors
 
 
@@ -67,10 +67,10 @@
         '_to_append',
         '_without_successor',
         'handover',
+        'in_flight',
         'last_takeover',
         'table',
         'takeovers',
-        'work',
     )
 
     def __init__(
@@ -91,14 +91,14 @@
         self._to_append: dict[Change, None] = {}
         self._without_successor: list[str] = []
         self.table = OwnershipTable(row.member)
-        self.work = WorkTable()
+        self.in_flight = InFlightRequests()
         self.handover = HandoverSystem(
             row,
             state,
             clock,
             send,
             self.table,
-            self.work,
+            self.in_flight,
         )
         self.takeovers = 0
         self.last_takeover: Takeover | None = None
@@ -106,9 +106,9 @@
     def find(self, service: str, key: str) -> Ownership | None:
         """Tell who owns a key, as far as this process knows."""
         part = find_slice(self._state(), service, key)
-        return None if part is None else self.judge(part)
+        return None if part is None else self.ownership_of(part)
 
-    def judge(self, part: SliceRow) -> Ownership:
+    def ownership_of(self, part: SliceRow) -> Ownership:
         """Tell who owns a slice, as far as this process knows."""
         slice_id = part.slice_id
         fence = self.table.fence(self._state(), part)
@@ -129,7 +129,7 @@
             return OwnedElsewhere(slice_id, part.successor, None)
         return OwnedElsewhere(slice_id, part.owner, part.successor)
 
-    def held(self) -> list[SliceRow]:
+    def owned_slices(self) -> list[SliceRow]:
         """Return the slices whose fences this process holds."""
         state = self._state()
         return [
@@ -297,7 +297,7 @@
             self._takeover_by_owner.pop(row.member)
         wait = self._grace(row)
         if row.proof is Proof.RESTART:
-            wait += LEASE_S * (1 + DRIFT)
+            wait += LEASE_S * (1 + MAX_CLOCK_DRIFT)
         proof = row.proof or Proof.TESTIMONY
         self._plan_takeover(row, wait, proof, row.epoch)
 
--- a/plantaingrade/ownership/handover.py
+++ b/plantaingrade/ownership/handover.py
@@ -9,8 +9,8 @@
 from plantaingrade.leases.const import EARLIEST
 from plantaingrade.ownership.const import ACCEPTANCE_S, RELEASE_EVERY_S
 from plantaingrade.ownership.entity import Offer, OfferAccepted, Release
+from plantaingrade.ownership.in_flight import InFlightRequests
 from plantaingrade.ownership.table import OwnershipTable
-from plantaingrade.ownership.work import WorkTable
 
 
 class HandoverSystem:
@@ -42,7 +42,7 @@
         clock: Clock,
         send: Callable[[Any, str], None],
         table: OwnershipTable,
-        work: WorkTable,
+        work: InFlightRequests,
     ) -> None:
         """Release on behalf of one member."""
         self._row = row
@@ -61,7 +61,7 @@
         """Tell whether this member lets go of everything."""
         return self._leaving
 
-    def is_under_way(self, slice_id: str) -> bool:
+    def is_handing_over(self, slice_id: str) -> bool:
         """Tell whether new work on a slice must wait for its next owner.
 
         While lost work may still be running, the slice cannot be released,
@@ -77,7 +77,7 @@
             self._leaving = True
             self.plan()
 
-    def stay(self) -> None:
+    def cancel_leave(self) -> None:
         """Stop releasing; what is released stays so."""
         if self._leaving:
             self._leaving = False
--- a/plantaingrade/ownership/work.py
+++ b/plantaingrade/ownership/in_flight.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 
-class WorkTable:
+class InFlightRequests:
     """Know when a slice has no work left that could still run.
 
     A request whose answer never came may still run in the backend server after
--- a/plantaingrade/ownership/table.py
+++ b/plantaingrade/ownership/table.py
@@ -23,7 +23,7 @@
         self._renounced: set[tuple[str, int]] = set()
 
     @property
-    def taken(self) -> dict[str, int]:
+    def acquired(self) -> dict[str, int]:
         """Return fences of takeovers not in the journal yet, by slice."""
         return dict(self._taken)
 
@@ -55,10 +55,10 @@
 
     def take(self, part: SliceRow) -> bool:
         """Become the owner as the named successor of an ended ownership."""
-        place = (part.slice_id, part.successor_fence)
+        naming = (part.slice_id, part.successor_fence)
         # What was renounced is remembered until the journal shows it: by its
         # old view this process could take the slice over as well.
-        if part.successor != self.member or place in self._renounced:
+        if part.successor != self.member or naming in self._renounced:
             return False
         self._taken[part.slice_id] = part.successor_fence
         return True
--- a/plantaingrade/peers/map_follower.py
+++ b/plantaingrade/peers/map_follower.py
@@ -121,7 +121,7 @@
         except UnreadableMapError as error:
             self._log.write('map-unreadable', why=str(error))
             return
-        self._maps.offer(service, key_map)
+        self._maps.update_if_newer(service, key_map)
 
     async def _async_arrives(self, service: str, wanted: int) -> bool:
         """Wait for datagrams; tell whether all that is spoken of has come."""
--- a/plantaingrade/peers/service_rows.py
+++ b/plantaingrade/peers/service_rows.py
@@ -100,7 +100,9 @@
     def _keep(self, service: str, row: Row) -> None:
         if row.name.key == KEY_MAP:
             if row.version > self._maps.find(service).version:
-                self._maps.offer(service, decode_map(row.body, row.version))
+                self._maps.update_if_newer(
+                    service, decode_map(row.body, row.version)
+                )
             return
         if row.name == wish_row(self._own.service, self._own.name):
             self._on_wish(decode_wish(row))
--- a/plantaingrade/routing/local_path.py
+++ b/plantaingrade/routing/local_path.py
@@ -142,7 +142,7 @@
     ) -> Iterator[WorkNote]:
         note = WorkNote()
         slice_id = '' if owned is None else owned.slice_id
-        table = self._ownership.work
+        table = self._ownership.in_flight
         table.begin(slice_id)
         try:
             yield note
--- a/plantaingrade/routing/targets.py
+++ b/plantaingrade/routing/targets.py
@@ -79,7 +79,7 @@
         ownership = self._ownership.find(request.service, request.key)
         match ownership:
             case Owned(slice_id=slice_id):
-                if self._ownership.handover.is_under_way(slice_id):
+                if self._ownership.handover.is_handing_over(slice_id):
                     return NotRun(NotRunReason.MOVING)
                 return LocalTarget(ownership)
             case OwnedElsewhere():
@@ -168,7 +168,7 @@
 
     def _load(self, row: MemberRow) -> float:
         if row.member == self._row.member:
-            return self._ownership.work.total() / row.slots
+            return self._ownership.in_flight.total() / row.slots
         return self._in_flight[row.member] / row.slots
 
     def _suspected(self, row: MemberRow | None) -> bool:
--- a/tests/balance/fleet.py
+++ b/tests/balance/fleet.py
@@ -25,7 +25,7 @@
 from plantaingrade.holds.transfer import CROWDED_LIMIT_S
 from plantaingrade.holds.turns import TurnPauses
 from plantaingrade.holds.unheld import MAX_UNHELD_WAIT_S
-from plantaingrade.keyspace.assign import cut
+from plantaingrade.keyspace.assign import split_range
 from plantaingrade.keyspace.entity import (
     ALL_KEYS,
     KEY_COUNT,
@@ -241,7 +241,7 @@
         return self.seen
 
     async def _async_play(self, warm_s: float, length_s: float) -> None:
-        parts = cut(ALL_KEYS, self._count)
+        parts = split_range(ALL_KEYS, self._count)
         for place, keys in enumerate(parts):
             name = f's@{place}'
             self.servers[name] = Server(name, keys, self)
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -74,7 +74,7 @@
             lambda: self.state,
             self.clock,
             self.send,
-            self.leases.until,
+            self.leases.expires_at,
         )
 
     @property
@@ -139,7 +139,7 @@
         self.leases.tick()
         self.ownership.tick()
         for owner in self.ownership.outdated_proofs():
-            self.leases.prove_again(owner)
+            self.leases.reopen_poll(owner)
 
     def supervise(self) -> None:
         """Append what is due."""
@@ -150,9 +150,9 @@
         state = None if row is None else row.state
         if state is MemberState.STARTING and self.leases.is_held():
             self.append(StateSet(self.name, MemberState.READY, state))
-        if state is MemberState.READY and self.leases.has_lapsed():
+        if state is MemberState.READY and self.leases.is_isolated():
             self.append(StateSet(self.name, MemberState.STARTING, state))
-        change = self.leases.replacement()
+        change = self.leases.next_witness_change()
         if change is not None:
             self.append(change)
 
@@ -166,7 +166,7 @@
         """Return fences of the slices it would serve at this instant."""
         found = {}
         for part in self.state.slices.values():
-            judgement = self.ownership.judge(part)
+            judgement = self.ownership.ownership_of(part)
             if isinstance(judgement, Owned):
                 found[part.slice_id] = judgement.fence
         return found
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -81,7 +81,7 @@
     Guard(
         'what was renounced is not taken',
         'plantaingrade/ownership/table.py',
-        'if part.successor != self.member or place in self._renounced:',
+        'if part.successor != self.member or naming in self._renounced:',
         'if part.successor != self.member:',
         'tests/ownership',
     ),
@@ -109,7 +109,7 @@
     ),
     Guard(
         'a release waits for lost work',
-        'plantaingrade/ownership/work.py',
+        'plantaingrade/ownership/in_flight.py',
         'return until is None and slice_id not in self._in_flight',
         'return slice_id not in self._in_flight',
         'tests/ownership',
@@ -313,7 +313,7 @@
     Guard(
         'what is known of lost seconds is kept',
         'plantaingrade/keyspace/directory.py',
-        'if lacks_nothing and key_map.epoch == known.epoch:',
+        'if matches_store and key_map.epoch == known.epoch:',
         'if True:',
         'tests/holds/test_store_copy.py tests/keyspace',
     ),
--- a/tests/holds/connections.py
+++ b/tests/holds/connections.py
@@ -17,7 +17,7 @@
 from plantaingrade.http.messages import Request, Role
 from plantaingrade.http.pool import ConnectFailedError, Pool
 from plantaingrade.http.server import HttpServer
-from plantaingrade.keyspace.assign import cut
+from plantaingrade.keyspace.assign import split_range
 from plantaingrade.keyspace.entity import ALL_KEYS, Assignment, KeyMap, KeyRange
 from plantaingrade.platform.orders import OrderClient
 from plantaingrade.requests.entity import Answer
@@ -170,7 +170,7 @@
         fence = registry.key_map.fence + 1
         pieces = tuple(
             Assignment(keys, names[number % 2], fence)
-            for number, keys in enumerate(cut(ALL_KEYS, 2 * ranges))
+            for number, keys in enumerate(split_range(ALL_KEYS, 2 * ranges))
         )
         return Change(KeyMap(pieces, fence, registry.key_map.version))
 
--- a/tests/holds/fakes.py
+++ b/tests/holds/fakes.py
@@ -451,7 +451,7 @@
         for place in self._world.places:
             is_told = place.name != self._own and place.name not in skipped
             if is_told and self._world.is_heard():
-                place.maps.offer(service, after)
+                place.maps.update_if_newer(service, after)
 
     async def async_hand(
         self,
@@ -464,7 +464,7 @@
         await asyncio.sleep(CALL_S)
         for place in self._world.places:
             if place.name == target and self._world.is_heard():
-                place.maps.offer(SERVICE, after)
+                place.maps.update_if_newer(SERVICE, after)
                 for token in tokens:
                     place.holds.expect_handover(token)
 
--- a/tests/holds/test_coordinator.py
+++ b/tests/holds/test_coordinator.py
@@ -383,7 +383,7 @@
         reads = place.store.reads
         place.holds.on_hint(version + 1)
         newer = place.maps.find('cases').at_version(version + 1)
-        place.maps.offer('cases', newer)
+        place.maps.update_if_newer('cases', newer)
         await asyncio.sleep(HINT_PAUSE_S * 2)
         after_datagram = place.store.reads - reads
         reads = other.store.reads
--- a/tests/keyspace/test_assign.py
+++ b/tests/keyspace/test_assign.py
@@ -6,11 +6,11 @@
 from hypothesis import strategies as st
 
 from plantaingrade.keyspace.assign import (
-    cut,
     is_complete,
     merge,
     reassign,
     split_evenly,
+    split_range,
 )
 from plantaingrade.keyspace.codec import (
     UnreadableMapError,
@@ -120,7 +120,7 @@
 def test_differences_bring_another_copy_up_to_date(steps) -> None:
     key_map = split_evenly(OWNERS).at_version(1)
     maps = KeyMaps()
-    maps.offer('s', key_map)
+    maps.update_if_newer('s', key_map)
     for version, (moved, owner) in enumerate(steps, start=2):
         after = reassign(key_map, {moved: owner}).at_version(version)
         applied = maps.apply(
@@ -143,7 +143,7 @@
     """
     maps = KeyMaps()
     first = split_evenly(OWNERS).at_version(1)
-    maps.offer('s', first)
+    maps.update_if_newer('s', first)
     lost = reassign(first, {KeyRange(0, 9): 'b'}).at_version(2)
     late = reassign(lost, {KeyRange(20, 29): 'b'}).at_version(3)
     applied = maps.apply('s', 2, 3, late.fence, differences(lost, late))
@@ -154,17 +154,17 @@
 def test_an_older_map_never_replaces_a_newer_one() -> None:
     maps = KeyMaps()
     newer = split_evenly(OWNERS).at_version(5)
-    assert maps.offer('s', newer)
-    assert not maps.offer('s', split_evenly(('a',)).at_version(4))
+    assert maps.update_if_newer('s', newer)
+    assert not maps.update_if_newer('s', split_evenly(('a',)).at_version(4))
     assert maps.find('s') is newer
 
 
 def test_cut_covers_a_range_without_gaps() -> None:
-    pieces = cut(KeyRange(10, 20), 3)
+    pieces = split_range(KeyRange(10, 20), 3)
     assert pieces[0].first == 10
     assert pieces[-1].last == 20
     assert sum(len(piece) for piece in pieces) == 11
-    assert len(cut(KeyRange(4, 5), 9)) == 2
+    assert len(split_range(KeyRange(4, 5), 9)) == 2
 
 
 def test_no_owner_makes_no_map() -> None:
@@ -208,16 +208,16 @@
     maps = KeyMaps()
     first = split_evenly(OWNERS)
     lost = reassign(first, {KeyRange(0, 9): 'b'})
-    maps.offer('s', lost.at_version(7))
-    maps.offer('s', first.at_version(make_version(1, 5)))
+    maps.update_if_newer('s', lost.at_version(7))
+    maps.update_if_newer('s', first.at_version(make_version(1, 5)))
     assert maps.find('s').find(0).owner == 'b'
     assert maps.find_stored('s').find(0).owner == first.find(0).owner
     other = reassign(first, {KeyRange(20, 29): 'c'}, epoch=1)
-    maps.offer('s', other.at_version(make_version(1, 6)))
+    maps.update_if_newer('s', other.at_version(make_version(1, 6)))
     assert maps.find('s').find(0).owner == 'b'
     assert maps.find('s').find(20).owner == 'c'
     complete = reassign(maps.find('s'), {KeyRange(40, 49): 'a'}, epoch=1)
-    maps.offer('s', complete.at_version(make_version(1, 7)))
+    maps.update_if_newer('s', complete.at_version(make_version(1, 7)))
     assert maps.find_stored('s') is maps.find('s')
 
 
--- a/tests/leases/test_holder.py
+++ b/tests/leases/test_holder.py
@@ -24,7 +24,7 @@
     """A starting process serves nothing on one witness's word."""
     holder = _holder()
     holder.on_ack(_ack('w1', 5.0))
-    assert holder.until() < 0
+    assert holder.expires_at() < 0
 
 
 def test_lease_counts_from_the_second_newest_ack() -> None:
@@ -37,7 +37,7 @@
     holder.on_ack(_ack('w1', 1.0))
     holder.on_ack(_ack('w2', 1.0))
     holder.on_ack(_ack('w3', 9.0))
-    assert holder.until() == 1.0 + LEASE_S
+    assert holder.expires_at() == 1.0 + LEASE_S
 
 
 def test_late_answer_extends_nothing_beyond_its_sending() -> None:
@@ -46,7 +46,7 @@
     holder.on_ack(_ack('w1', 9.0))
     holder.on_ack(_ack('w2', 9.0))
     holder.on_ack(_ack('w1', 3.0))
-    assert holder.until() == 9.0 + LEASE_S
+    assert holder.expires_at() == 9.0 + LEASE_S
 
 
 def test_every_epoch_is_needed_until_dropped() -> None:
@@ -55,9 +55,9 @@
     holder.add_epoch(2, ('v1', 'v2', 'v3'))
     for witness in ('v1', 'v2', 'v3'):
         holder.on_ack(_ack(witness, 9.0, epoch=2))
-    assert holder.until() < 0
+    assert holder.expires_at() < 0
     holder.drop_before(2)
-    assert holder.until() == 9.0 + LEASE_S
+    assert holder.expires_at() == 9.0 + LEASE_S
 
 
 def test_two_refusals_lose_the_lease_for_good() -> None:
--- a/tests/membership/test_datagrams.py
+++ b/tests/membership/test_datagrams.py
@@ -64,11 +64,11 @@
     """
     cluster = FakeCluster.from_size(4)
     member = cluster.members[0]
-    until = member.leases.until()
+    until = member.leases.expires_at()
     cluster.network.clear()
     member.receive(Renew('x#1', 1, 'predecessor#1', 9.0, 'x'))
     member.receive(RenewAck('predecessor#1', 1, 's1#1', 999.0))
     member.receive(RenewRefused('predecessor#1', 1, 's1#1'))
     assert not cluster.network
-    assert member.leases.until() == until
+    assert member.leases.expires_at() == until
     assert not member.leases.holder.is_lost()
--- a/tests/ownership/test_table.py
+++ b/tests/ownership/test_table.py
@@ -155,7 +155,7 @@
     table.take(part)
     append(state, Took(SLICE, 'b', part.successor_fence))
     table.settle(state)
-    assert not table.taken
+    assert not table.acquired
     assert table.fence(state, state.slices[SLICE]) is not None
 
 
--- a/tests/ownership/test_takeover.py
+++ b/tests/ownership/test_takeover.py
@@ -118,10 +118,10 @@
     owner.paused = True
     cluster.until(lambda: _moved_from(cluster, owner), SERVED_AGAIN_S)
     part = owner.state.slices[SLICE]
-    assert isinstance(owner.ownership.judge(part), LeaseLapsed)
+    assert isinstance(owner.ownership.ownership_of(part), LeaseLapsed)
     owner.resume()
     cluster.run(2)
-    assert not isinstance(owner.ownership.judge(part), Owned)
+    assert not isinstance(owner.ownership.ownership_of(part), Owned)
 
 
 def test_owner_paused_for_less_than_its_lease_goes_on(
@@ -206,7 +206,7 @@
     """
     cluster = FakeCluster.from_size(6, checks_fence=False)
     owner = _owner(cluster)
-    until = owner.leases.until()
+    until = owner.leases.expires_at()
     owner.dead = True
     cluster.until(lambda: _moved_from(cluster, owner), SERVED_AGAIN_S)
     assert cluster.time >= until + 0.4
@@ -279,7 +279,7 @@
     owner keeps the slice until then.
     """
     owner = _owner(cluster)
-    work = owner.ownership.work
+    work = owner.ownership.in_flight
     work.begin(SLICE)
     deadline = owner.clock.now() + 1
     work.end(SLICE, may_run_until=deadline)
@@ -355,7 +355,7 @@
     successor.append(renounced)
     successor.append(SuccessorNamed(SLICE, successor.name))
     _prove(successor, owner.name, epoch)
-    assert SLICE not in successor.ownership.table.taken
+    assert SLICE not in successor.ownership.table.acquired
 
 
 def test_proof_before_the_change_holds_for_who_was_successor(
@@ -372,7 +372,7 @@
     owner.append(Witnessed(owner.name, owner.row.witnesses, epoch + 1))
     successor.catch_up()
     _prove(successor, owner.name, epoch)
-    assert SLICE in successor.ownership.table.taken
+    assert SLICE in successor.ownership.table.acquired
 
 
 def test_takeover_names_the_next_successor_itself(
@@ -412,7 +412,7 @@
     assert not successor.leases.is_held()
     successor.ownership.on_proven(owner.name, owner.row.epoch)
     assert successor.ownership.pending_changes()
-    assert SLICE not in successor.ownership.table.taken
+    assert SLICE not in successor.ownership.table.acquired
 
 
 def test_owner_names_a_new_successor_without_decider(
@@ -481,10 +481,10 @@
     heir.append(Renounced(SLICE, heir.name, part.successor_fence))
     heir.append(SuccessorNamed(SLICE, heir.name))
     _prove(heir, owner.name, epoch)
-    assert SLICE not in heir.ownership.table.taken
+    assert SLICE not in heir.ownership.table.acquired
     heir.append(Ended(owner.name, Proof.TESTIMONY, epoch + 1))
     heir.ownership.tick()
-    assert SLICE not in heir.ownership.table.taken
+    assert SLICE not in heir.ownership.table.acquired
 
 
 def test_leaving_successor_accepts_nothing(cluster: FakeCluster) -> None:
--- a/tests/peers/test_messages.py
+++ b/tests/peers/test_messages.py
@@ -82,7 +82,7 @@
     message = MapChanged.from_maps('s', 's@2', before, after)
     assert len(CODEC.encode(message)) < 250
     maps = KeyMaps()
-    maps.offer('s', before)
+    maps.update_if_newer('s', before)
     assert not hear(message, maps=maps)
     assert maps.find('s').assignments == after.assignments
 
@@ -99,7 +99,7 @@
     message = MapChanged.from_maps('s', 's@2', before, after)
     assert len(CODEC.encode(message)) > MAX_DATAGRAM_BYTES
     maps = KeyMaps()
-    maps.offer('s', before)
+    maps.update_if_newer('s', before)
     empty = MapChanged('s', 's@2', 1, 2, after.fence, (), ())
     assert hear(empty, maps=maps) == [OTHER.address]
 
@@ -109,7 +109,7 @@
     missed = reassign(before, {KeyRange(5, 9): 's@3'}).at_version(2)
     after = reassign(missed, {KeyRange(50, 90): 's@3'}).at_version(3)
     maps = KeyMaps()
-    maps.offer('s', before)
+    maps.update_if_newer('s', before)
     message = MapChanged.from_maps('s', 's@2', missed, after)
     assert hear(message, maps=maps) == [OTHER.address]
     assert maps.find('s').version == 1
@@ -131,7 +131,7 @@
         for before, after in pairwise(maps_told)
     )
     maps = KeyMaps()
-    maps.offer('s', maps_told[0])
+    maps.update_if_newer('s', maps_told[0])
     assert not hear(third, second, first, maps=maps)
     assert maps.find('s').version == 4
     assert maps.find('s').assignments == maps_told[-1].assignments
@@ -144,7 +144,7 @@
     second = reassign(missed, {KeyRange(50, 90): 's@3'}).at_version(3)
     third = reassign(second, {KeyRange(95, 99): 's@3'}).at_version(4)
     maps = KeyMaps()
-    maps.offer('s', before)
+    maps.update_if_newer('s', before)
     asked = hear(
         MapChanged.from_maps('s', 's@2', missed, second),
         MapChanged.from_maps('s', 's@2', second, third),
--- a/tests/peers/test_strangers.py
+++ b/tests/peers/test_strangers.py
@@ -102,7 +102,7 @@
     directory = Directory()
     directory.add(OTHER)
     maps = KeyMaps()
-    maps.offer('s', FIRST)
+    maps.update_if_newer('s', FIRST)
     clock = LoopClock()
     peers = PeerCoordinator(
         OWN,
--- a/tests/requests/test_coordinator.py
+++ b/tests/requests/test_coordinator.py
@@ -118,7 +118,7 @@
         directory.add(member)
     maps = KeyMaps()
     names = [member.name for member in KEYED]
-    maps.offer('k', split_evenly(names).at_version(1))
+    maps.update_if_newer('k', split_evenly(names).at_version(1))
 
     async def story():
         clock = LoopClock()
