--- a/plantaingrade/leases/__init__.py
+++ b/plantaingrade/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases of processes, renewed at witnesses in other availability zones."""
+"""Leases of members, renewed at witnesses in other availability zones."""
--- a/plantaingrade/leases/coordinator.py
+++ b/plantaingrade/leases/coordinator.py
@@ -1,4 +1,4 @@
-"""Run leases: hold one, witness others', collect testimony."""
+"""Hold a lease, witness the leases of peers, and poll for ended ones."""
 
 import random
 from collections.abc import Callable
@@ -19,14 +19,13 @@
     EPOCH_CHECK_EVERY_S,
     EPOCH_SETTLE_S,
     FORMER_NOTICE_FOR_S,
+    ISOLATED_AFTER_S,
     LEASE_S,
-    ORPHAN_AFTER_S,
     RENEW_EVERY_S,
-    WITNESS_ASKS_AFTER_S,
     WITNESS_COUNT,
+    WITNESS_POLLS_AFTER_S,
 )
 from plantaingrade.leases.entity import (
-    Ask,
     EpochAck,
     EpochCheck,
     Lapsed,
@@ -35,6 +34,7 @@
     RenewAck,
     RenewRefused,
     Testimony,
+    TestimonyRequest,
 )
 from plantaingrade.leases.holder import LeaseHolder
 from plantaingrade.leases.polls import PollTable
@@ -44,7 +44,7 @@
 
 
 class LeaseCoordinator:
-    """Exchange lease datagrams for one member; no I/O of its own."""
+    """Exchange the lease datagrams of one member; does no I/O itself."""
 
     __slots__ = (
         '_candidate',
@@ -69,7 +69,7 @@
         clock: Clock,
         send: Sender,
     ) -> None:
-        """Hold the lease of ``row`` at the witnesses it names."""
+        """Hold the lease of ``row`` at the witnesses listed there."""
         self._row = row
         self._state = state
         self._clock = clock
@@ -86,34 +86,34 @@
         self._lapsed_since: dict[tuple[str, int], float] = {}
 
     def expires_at(self) -> float:
-        """Return the end of this member's lease."""
+        """Return the end of this member's lease, in seconds on its clock."""
         return self.holder.expires_at()
 
     def is_held(self) -> bool:
-        """Tell whether this member holds its lease now."""
+        """Return whether this member holds its lease now."""
         return self.expires_at() > self._clock.now()
 
     def is_isolated(self) -> bool:
-        """Tell whether the lease has been missing for some time."""
-        return self.expires_at() + ORPHAN_AFTER_S < self._clock.now()
+        """Return whether the lease ended over ``ISOLATED_AFTER_S`` ago."""
+        return self.expires_at() + ISOLATED_AFTER_S < self._clock.now()
 
     def tick(self) -> None:
-        """Run each system over its table once."""
+        """Send all renewals, notices, requests and checks that are due."""
         now = self._clock.now()
         if now >= self._next_renewal_at:
             self._next_renewal_at = now + RENEW_EVERY_S
             for renewal in self.holder.renewals(now, self._row.udp):
                 self._send_to_member(renewal, renewal.witness)
-        for notice in self.witness.lapsed(now):
-            self._spread_notice(notice, now)
-        for ask in self.polls.asks(now, self._row.udp):
-            self._send_to_member(ask, ask.witness)
+        for notice in self.witness.notices_due(now):
+            self._send_notice(notice, now)
+        for request in self.polls.requests_due(now, self._row.udp):
+            self._send_to_member(request, request.witness)
         if now >= self._next_check_at:
             self._next_check_at = now + EPOCH_CHECK_EVERY_S
-            self._check_epoch()
+            self._confirm_epoch()
 
     def on_message(self, message: LeaseMessage) -> str | None:
-        """Take a datagram in; return the member whose end it proves."""
+        """Handle a datagram; return the member whose lease it proves ended."""
         now = self._clock.now()
         match message:
             case Renew(witness=self._row.member):
@@ -124,26 +124,26 @@
                 self.holder.on_ack(message)
             case RenewRefused():
                 self.holder.on_refused(message)
-            case Ask(witness=self._row.member):
-                testimony = self.witness.on_ask(message, now)
+            case TestimonyRequest(witness=self._row.member):
+                testimony = self.witness.on_request(message, now)
                 self._send(testimony, message.reply_to)
             case Testimony():
                 if self.polls.on_testimony(message, now):
                     return message.member
             case Lapsed():
-                self._suspect(message.member, now)
+                self._open_poll(message.member, now)
             case EpochCheck(successor=self._row.member):
-                self._judge_by(message)
+                self._on_epoch_check(message)
             case EpochAck(member=self._row.member):
-                self._count_agreement(message)
+                self._on_epoch_ack(message)
         return None
 
-    def _count_agreement(self, ack: EpochAck) -> None:
+    def _on_epoch_ack(self, ack: EpochAck) -> None:
         if ack.epoch == self.holder.epochs[-1]:
             self._epoch_acks.add(ack.successor)
 
     def on_new_epoch(self, epoch: int, witnesses: tuple[str, ...]) -> None:
-        """Note that the journal names the new witnesses."""
+        """Handle a change of this member's witnesses in the journal."""
         self._epoch_acks.clear()
         self._candidate = None
         self.holder.add_epoch(epoch, witnesses)
@@ -152,11 +152,11 @@
         self._settled_at = self._clock.now()
 
     def next_witness_change(self) -> Witnessed | None:
-        """Return the change of witnesses to append now, if there is one.
+        """Return the change of witnesses to append now, if any.
 
         The holder first renews at the new witnesses, then requires them, and
-        only then writes them down: successors may ask them as soon as they are
-        named.
+        only then records them, as successors may poll them once the journal
+        names them.
         """
         now = self._clock.now()
         candidate = self._candidate
@@ -165,7 +165,7 @@
             return None
         if candidate.epoch in self.holder.epochs:
             return candidate
-        if self.holder.holds_candidate(now):
+        if self.holder.is_candidate_held(now):
             self.holder.add_epoch(candidate.epoch, candidate.witnesses)
             return candidate
         if now > self._settled_at + EPOCH_SETTLE_S:
@@ -173,31 +173,31 @@
         return None
 
     def _choose_candidate(self, now: float) -> None:
-        wanted = self.better_witnesses()
+        wanted = self.replacement_witnesses()
         if wanted is None:
             return
         epoch = self.holder.epochs[-1] + 1
         self._candidate = Witnessed(self._row.member, wanted, epoch)
-        self.holder.try_epoch(epoch, wanted)
+        self.holder.add_candidate(epoch, wanted)
         self._settled_at = now
         self._next_renewal_at = EARLIEST
 
     def reopen_poll(self, member: str) -> None:
-        """Collect testimony anew, from the witnesses of the present epoch."""
+        """Restart the poll about a member with its current witnesses."""
         now = self._clock.now()
-        poll = self.polls.proven_epoch(member)
+        known = self.polls.proven_epoch(member)
         row = self._state().members.get(member)
-        if row is not None and poll is not None and poll < row.epoch:
+        if row is not None and known is not None and known < row.epoch:
             self.polls.forget(member)
-        self._suspect(member, now)
+        self._open_poll(member, now)
 
     def forget_ended(self) -> None:
-        """Drop what concerns members whose end is in the journal."""
+        """Drop the leases and polls of members that ended in the journal."""
         state = self._state()
         for member, epoch in self.witness.leases():
             row = state.members.get(member)
-            # An older epoch is renewed on: its holder needs it until its
-            # successors have agreed to the new one.
+            # Older epochs are still renewed: the holder requires them until
+            # its successors have accepted the new one.
             if row is not None and row.state is MemberState.OVER:
                 self.witness.forget(member, epoch)
                 self._lapsed_since.pop((member, epoch), None)
@@ -205,10 +205,10 @@
             if is_over(state, member):
                 self.polls.forget(member)
             else:
-                self.polls.outdate(member, state.members[member].epoch)
+                self.polls.drop_outdated(member, state.members[member].epoch)
 
-    def better_witnesses(self) -> tuple[str, ...] | None:
-        """Return witnesses that should replace the present ones, if any."""
+    def replacement_witnesses(self) -> tuple[str, ...] | None:
+        """Return witnesses that should replace the current ones, if any."""
         now = self._clock.now()
         epochs = self.holder.epochs
         if len(epochs) > 1 or now < self._settled_at + EPOCH_SETTLE_S:
@@ -227,15 +227,18 @@
         wanted = choose_witnesses(state, self._row, tuple(kept))
         if set(wanted) == set(current):
             return None
-        # This member may be the one that is cut off. Replacing its witnesses
-        # would only delay its successors, so it waits until they have had time
-        # to take over.
-        cut_off = not kept and current != (self._row.member,)
-        if cut_off and now < self._renewed_at(epochs[-1]) + ORPHAN_AFTER_S:
+        # This member itself may be the isolated one. Replacing its witnesses
+        # would then only delay its successors, so it first leaves them time to
+        # take over.
+        is_cut_off = not kept and current != (self._row.member,)
+        if (
+            is_cut_off
+            and now < self._last_renewed_at(epochs[-1]) + ISOLATED_AFTER_S
+        ):
             return None
         return wanted
 
-    def _renewed_at(self, epoch: int) -> float:
+    def _last_renewed_at(self, epoch: int) -> float:
         acked = (
             self.holder.last_ack(epoch, witness)
             for witness in self._row.witnesses
@@ -243,18 +246,18 @@
         )
         return max(acked, default=EARLIEST)
 
-    def _spread_notice(self, notice: Lapsed, now: float) -> None:
+    def _send_notice(self, notice: Lapsed, now: float) -> None:
         state = self._state()
         row = state.members.get(notice.member)
         if row is None:
             return
         lease = (notice.member, notice.epoch)
         since = self._lapsed_since.setdefault(lease, now)
-        # The new witnesses have no lease to miss before the member has renewed
-        # at them. The former ones still tell for a while; the new ones are
-        # asked, and decide.
-        outdated = row.epoch != notice.epoch
-        if outdated and now - since > FORMER_NOTICE_FOR_S:
+        # New witnesses cannot notice a lapse before the member has renewed with
+        # them, so the former ones send notices for a while. Only the testimony
+        # of the new ones counts.
+        is_former = row.epoch != notice.epoch
+        if is_former and now - since > FORMER_NOTICE_FOR_S:
             self.witness.forget(*lease)
             self._lapsed_since.pop(lease, None)
             return
@@ -265,27 +268,27 @@
         }
         for successor in successors:
             self._send_to_member(notice, successor)
-        # A member that owns nothing has no successor to end it, but it may
-        # be a successor itself.
-        if now - since > WITNESS_ASKS_AFTER_S:
-            self._suspect(notice.member, now)
+        # A member that owns nothing has no successor that would poll, but it
+        # may itself be the successor of others, so the witness polls.
+        if now - since > WITNESS_POLLS_AFTER_S:
+            self._open_poll(notice.member, now)
 
-    def _suspect(self, member: str, now: float) -> None:
+    def _open_poll(self, member: str, now: float) -> None:
         row = self._state().members.get(member)
         if row is not None and row.state is not MemberState.OVER:
             self.polls.open(member, row.epoch, row.witnesses, now)
 
-    def _judge_by(self, check: EpochCheck) -> None:
+    def _on_epoch_check(self, check: EpochCheck) -> None:
         row = self._state().members.get(check.member)
         if row is None or row.epoch < check.epoch:
             return
-        # A successor that has proven the holder's end under the old witnesses
-        # never agrees to new ones.
+        # A successor that has proven the end of the lease with the old
+        # witnesses never accepts new ones.
         if self.polls.accept_epoch(check.member, check.epoch):
             ack = EpochAck(check.member, check.epoch, self._row.member)
             self._send(ack, check.reply_to)
 
-    def _check_epoch(self) -> None:
+    def _confirm_epoch(self) -> None:
         epochs = self.holder.epochs
         if len(epochs) < 2 or self._candidate is not None:
             return
@@ -297,8 +300,8 @@
             if part.owner == self._row.member and part.successor
         } - self._epoch_acks
         if not waiting:
-            self.holder.drop_before(newest)
-            logging.info('Lease epoch %d is in force', newest)
+            self.holder.drop_epochs_before(newest)
+            logging.info('All successors accepted lease epoch %d', newest)
             return
         for successor in waiting:
             check = EpochCheck(
@@ -328,25 +331,25 @@
 ) -> tuple[str, ...]:
     """Choose up to three witnesses, spread over availability zones.
 
-    Members that are ready go first: the others may be cut off. With fewer than
-    three other members, an own vote fills the place of the third, so that one
-    lost witness does not cost the lease.
+    Ready members are preferred: the others may be cut off. If the number of
+    witnesses is even, the member itself votes as one more, so that the loss of
+    one witness does not cost the lease.
     """
-    others = [
-        other
-        for other in state.members.values()
-        if other.server != row.server
-        and other.state is not MemberState.OVER
-        and other.member not in kept
+    peers = [
+        peer
+        for peer in state.members.values()
+        if peer.server != row.server
+        and peer.state is not MemberState.OVER
+        and peer.member not in kept
     ]
-    random.shuffle(others)
-    others.sort(key=_is_unready)
+    random.shuffle(peers)
+    peers.sort(key=_is_unready)
     chosen = list(kept)
     zones = {state.members[witness].zone for witness in kept} | {row.zone}
-    while others and len(chosen) < WITNESS_COUNT:
-        elsewhere = [other for other in others if other.zone not in zones]
-        pick = (elsewhere or others)[0]
-        others.remove(pick)
+    while peers and len(chosen) < WITNESS_COUNT:
+        elsewhere = [peer for peer in peers if peer.zone not in zones]
+        pick = (elsewhere or peers)[0]
+        peers.remove(pick)
         zones.add(pick.zone)
         chosen.append(pick.member)
     if len(chosen) % 2 == 0:
--- a/plantaingrade/leases/entity.py
+++ b/plantaingrade/leases/entity.py
@@ -1,4 +1,4 @@
-"""Datagrams that carry leases."""
+"""Datagrams of the lease protocol."""
 
 from plantaingrade.codec import Message
 
@@ -23,7 +23,7 @@
 
 
 class RenewRefused(Message):
-    """A witness has promised to renew this lease no more."""
+    """A witness has promised never to renew this lease again."""
 
     member: str
     epoch: int
@@ -31,15 +31,18 @@
 
 
 class Lapsed(Message):
-    """A witness has seen no renewal for a whole lease; not a promise."""
+    """Notice that a witness saw no renewal for the length of a lease.
+
+    This is not a promise: the witness renews the lease if it is asked to.
+    """
 
     member: str
     epoch: int
     witness: str
 
 
-class Ask(Message):
-    """Somebody asks a witness to promise that a lease has ended."""
+class TestimonyRequest(Message, tag='Ask'):
+    """A member asks a witness to promise that a lease has ended."""
 
     member: str
     epoch: int
@@ -48,7 +51,10 @@
 
 
 class Testimony(Message):
-    """A witness tells whether it renews the lease no more."""
+    """A witness's reply to a ``TestimonyRequest``.
+
+    ``over`` is a promise never to renew the lease again.
+    """
 
     member: str
     epoch: int
@@ -57,7 +63,7 @@
 
 
 class EpochCheck(Message):
-    """The holder asks a successor to judge it by its new witnesses."""
+    """The holder asks a successor to accept its new witnesses alone."""
 
     member: str
     epoch: int
@@ -66,7 +72,7 @@
 
 
 class EpochAck(Message):
-    """A successor judges the holder by the witnesses of this epoch only."""
+    """A successor accepts only testimony of this epoch about the holder."""
 
     member: str
     epoch: int
@@ -78,7 +84,7 @@
     | RenewAck
     | RenewRefused
     | Lapsed
-    | Ask
+    | TestimonyRequest
     | Testimony
     | EpochCheck
     | EpochAck
--- a/plantaingrade/leases/holder.py
+++ b/plantaingrade/leases/holder.py
@@ -10,10 +10,10 @@
 
 
 class LeaseHolder:
-    """Know until when this process may act as an owner.
+    """Compute until when this process may act as an owner.
 
-    Time is counted from before a renewal was sent, so the holder always
-    believes in an earlier end than any witness does.
+    The lease is counted from before its renewal was sent, so that it ends at
+    the holder before it ends at any witness.
     """
 
     __slots__ = (
@@ -37,29 +37,29 @@
         """Return the epochs that must all be renewed, oldest first."""
         return tuple(sorted(self._witnesses_by_epoch))
 
-    def try_epoch(self, epoch: int, witnesses: tuple[str, ...]) -> None:
-        """Renew at further witnesses without requiring them yet."""
+    def add_candidate(self, epoch: int, witnesses: tuple[str, ...]) -> None:
+        """Renew at the witnesses of a new epoch without requiring them yet."""
         self._candidate = (epoch, witnesses)
 
-    def holds_candidate(self, now: float) -> bool:
-        """Tell whether a majority of the further witnesses renews by now."""
+    def is_candidate_held(self, now: float) -> bool:
+        """Return whether a majority of the candidate witnesses has renewed."""
         if self._candidate is None:
             return False
-        return self._until_at(*self._candidate) > now
+        return self._expires_at(*self._candidate) > now
 
     def add_epoch(self, epoch: int, witnesses: tuple[str, ...]) -> None:
-        """Require a majority of these witnesses from now on."""
+        """Require a majority of these witnesses for the lease from now on."""
         self._witnesses_by_epoch[epoch] = witnesses
         self._candidate = None
 
-    def drop_before(self, epoch: int) -> None:
+    def drop_epochs_before(self, epoch: int) -> None:
         """Stop requiring the witnesses of earlier epochs.
 
-        Only safe once every successor judges this holder by ``epoch``.
+        Only safe once every successor accepts only testimony of ``epoch``.
         """
-        for old in self.epochs:
-            if old < epoch:
-                self._witnesses_by_epoch.pop(old)
+        for earlier in self.epochs:
+            if earlier < epoch:
+                self._witnesses_by_epoch.pop(earlier)
 
     def renewals(self, now: float, reply_to: str) -> list[Renew]:
         """Return the renewals to send now."""
@@ -73,35 +73,35 @@
         ]
 
     def on_ack(self, ack: RenewAck) -> None:
-        """Count an acknowledgement."""
+        """Record that a witness acknowledged a renewal."""
         if ack.member == self.member:
-            place = (ack.epoch, ack.witness)
-            earlier = self._acked_at.get(place, EARLIEST)
-            self._acked_at[place] = max(earlier, ack.sent_at)
+            key = (ack.epoch, ack.witness)
+            earlier = self._acked_at.get(key, EARLIEST)
+            self._acked_at[key] = max(earlier, ack.sent_at)
 
     def on_refused(self, refusal: RenewRefused) -> None:
-        """Count a refusal, which is for good."""
+        """Record a refusal; it is permanent."""
         if refusal.member == self.member:
             self._refused.add((refusal.epoch, refusal.witness))
 
     def expires_at(self) -> float:
-        """Return the end of the lease on this process's clock."""
+        """Return the end of the lease, in seconds on this process's clock."""
         if not self._witnesses_by_epoch:
             return EARLIEST
         return min(
-            self._until_at(epoch, witnesses)
+            self._expires_at(epoch, witnesses)
             for epoch, witnesses in self._witnesses_by_epoch.items()
         )
 
     def is_lost(self) -> bool:
-        """Tell whether no majority can renew this lease ever again."""
+        """Return whether refusals rule out a majority in some epoch."""
         return any(map(self._is_lost_in, self._witnesses_by_epoch))
 
     def last_ack(self, epoch: int, witness: str) -> float:
-        """Return when the renewal that a witness acked last was sent."""
+        """Return the send time of the newest renewal that a witness acked."""
         return self._acked_at.get((epoch, witness), EARLIEST)
 
-    def _until_at(self, epoch: int, witnesses: tuple[str, ...]) -> float:
+    def _expires_at(self, epoch: int, witnesses: tuple[str, ...]) -> float:
         acked = sorted(
             (self.last_ack(epoch, witness) for witness in witnesses),
             reverse=True,
--- a/plantaingrade/leases/witness.py
+++ b/plantaingrade/leases/witness.py
@@ -9,27 +9,27 @@
     MAX_CLOCK_DRIFT,
 )
 from plantaingrade.leases.entity import (
-    Ask,
     Lapsed,
     Renew,
     RenewAck,
     RenewRefused,
     Testimony,
+    TestimonyRequest,
 )
 
 
 class Grant(Struct):
-    """One lease as a witness sees it."""
+    """Time until which a witness has granted one lease."""
 
     ends_at: float
     next_notice_at: float = 0.0
 
 
 class WitnessTable:
-    """Renew leases, and testify when their time has run out.
+    """Renew leases, and testify to their end once they have expired.
 
-    A witness keeps nothing but times and promises. A restarted process has
-    another member name, so nobody counts its testimony for the old one.
+    Times and promises are kept in memory only. A restarted process has a new
+    member name, so its testimony does not count as that of the old member.
     """
 
     __slots__ = ('_ended', '_grant_by_lease', 'member')
@@ -41,14 +41,14 @@
         self._ended: set[tuple[str, int]] = set()
 
     def __len__(self) -> int:
-        """Return how many leases this witness renews."""
+        """Return the number of leases that this witness renews."""
         return len(self._grant_by_lease)
 
     def on_renew(self, renew: Renew, now: float) -> RenewAck | RenewRefused:
-        """Renew a lease unless its end has been promised."""
+        """Renew a lease unless this witness has promised its end."""
         lease = (renew.member, renew.epoch)
-        # The promise made to the successor is kept for the life of this
-        # incarnation: a holder that was paused may renew after it.
+        # The promise to the successor is kept as long as this incarnation
+        # runs: a holder that was paused may send a renewal after it.
         if lease in self._ended:
             return RenewRefused(renew.member, renew.epoch, self.member)
         self._grant_by_lease[lease] = Grant(
@@ -56,20 +56,20 @@
         )
         return RenewAck(renew.member, renew.epoch, self.member, renew.sent_at)
 
-    def on_ask(self, ask: Ask, now: float) -> Testimony:
-        """Promise that a lease has ended, if its time has run out."""
-        lease = (ask.member, ask.epoch)
+    def on_request(self, request: TestimonyRequest, now: float) -> Testimony:
+        """Promise that a lease has ended, if it has expired."""
+        lease = (request.member, request.epoch)
         grant = self._grant_by_lease.get(lease)
         over = lease in self._ended or grant is None or grant.ends_at <= now
         if over:
-            # The one who asked may be lost before it writes the end down, so
-            # the witness goes on telling until the journal shows it.
+            # The member that asked may fail before it records the end, so the
+            # witness sends notices until the journal shows the end.
             self._ended.add(lease)
             self._grant_by_lease.setdefault(lease, Grant(now))
-        return Testimony(ask.member, ask.epoch, self.member, over)
+        return Testimony(request.member, request.epoch, self.member, over)
 
-    def lapsed(self, now: float) -> list[Lapsed]:
-        """Return a notice for each lease that has run out of time."""
+    def notices_due(self, now: float) -> list[Lapsed]:
+        """Return the notices to send now, one for each expired lease."""
         notices = []
         for (member, epoch), grant in list(self._grant_by_lease.items()):
             if grant.ends_at + LAPSE_NOTICE_FOR_S < now:
@@ -80,10 +80,10 @@
         return notices
 
     def forget(self, member: str, epoch: int) -> None:
-        """Stop watching a lease; never renew it again."""
+        """Stop tracking a lease; never renew it again."""
         if self._grant_by_lease.pop((member, epoch), None) is not None:
             self._ended.add((member, epoch))
 
     def leases(self) -> list[tuple[str, int]]:
-        """Return the member and epoch of each lease under watch."""
+        """Return the member and epoch of each tracked lease."""
         return list(self._grant_by_lease)
--- a/plantaingrade/ownership/__init__.py
+++ b/plantaingrade/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""What this process owns: fences, takeovers, hand-overs."""
+"""Slice ownership of this process: fences, takeovers and handovers."""
--- a/plantaingrade/ownership/entity.py
+++ b/plantaingrade/ownership/entity.py
@@ -6,7 +6,7 @@
 
 
 class Offer(Message):
-    """The owner asks its successor whether it could take a slice now."""
+    """The owner asks its successor whether it can take over a slice now."""
 
     slice_id: str
     owner: str
@@ -16,7 +16,7 @@
 
 
 class OfferAccepted(Message):
-    """The successor holds a lease and would take the slice."""
+    """The successor holds a lease and can take over the slice now."""
 
     slice_id: str
     fence: int
@@ -24,7 +24,7 @@
 
 
 class Release(Message):
-    """The owner has stopped for good and hands a slice to its successor."""
+    """The owner has stopped work on a slice and passes it to the successor."""
 
     slice_id: str
     owner: str
@@ -50,13 +50,13 @@
 
 
 class Unowned(Struct, frozen=True):
-    """Nobody is known to own the slice now."""
+    """No process is known to own the slice now."""
 
     slice_id: str
 
 
 class LeaseLapsed(Struct, frozen=True):
-    """This process is the owner by name, but holds no lease now."""
+    """This process is the recorded owner, but holds no lease now."""
 
     slice_id: str
     successor: str | None
--- a/plantaingrade/ownership/handover.py
+++ b/plantaingrade/ownership/handover.py
@@ -1,4 +1,4 @@
-"""Release slices to their successors, without a gap in ownership."""
+"""Handover of slices to their successors without a gap in ownership."""
 
 from collections.abc import Callable
 from typing import Any
@@ -13,18 +13,19 @@
 from plantaingrade.ownership.table import OwnershipTable
 
 
-class HandoverSystem:
-    """Stop work on a slice, wait until it has ended, tell the successor.
+class SliceHandover:
+    """Offer slices to their successors, and release them once they are idle.
 
-    The successor is asked first, and the owner goes on until it has accepted. A
-    release is repeated until the journal shows that the successor took the
-    slice; a datagram may be lost. What is released is never taken back, since
-    the successor may have taken it.
+    The owner serves a slice until its successor has accepted the offer. As
+    datagrams may be lost, a release is repeated until the journal shows that
+    the successor took over. A released slice is never taken back, since the
+    successor may already own it.
     """
 
     __slots__ = (
-        '_accepted',
+        '_accepted_until',
         '_clock',
+        '_in_flight',
         '_leaving',
         '_next_offer_at',
         '_row',
@@ -32,7 +33,6 @@
         '_slice_ids',
         '_state',
         '_table',
-        '_work',
     )
 
     def __init__(
@@ -42,49 +42,49 @@
         clock: Clock,
         send: Callable[[Any, str], None],
         table: OwnershipTable,
-        work: InFlightRequests,
+        in_flight: InFlightRequests,
     ) -> None:
-        """Release on behalf of one member."""
+        """Release slices on behalf of one member."""
         self._row = row
         self._state = state
         self._clock = clock
         self._send = send
         self._table = table
-        self._work = work
+        self._in_flight = in_flight
         self._slice_ids: set[str] = set()
-        self._accepted: dict[str, float] = {}
+        self._accepted_until: dict[str, float] = {}
         self._leaving = False
         self._next_offer_at = EARLIEST
 
     @property
     def is_leaving(self) -> bool:
-        """Tell whether this member lets go of everything."""
+        """Return whether this member releases all of its slices."""
         return self._leaving
 
     def is_handing_over(self, slice_id: str) -> bool:
-        """Tell whether new work on a slice must wait for its next owner.
+        """Return whether new requests for a slice must wait for its next owner.
 
-        While lost work may still be running, the slice cannot be released,
-        so new work goes on here instead of waiting.
+        While a request without a response may still run, the slice cannot be
+        released, so new requests are served here instead of waiting.
         """
         if not self._is_accepted(slice_id):
             return False
-        return not self._work.is_lingering(slice_id, self._clock.now())
+        return not self._in_flight.may_still_run(slice_id, self._clock.now())
 
     def leave(self) -> None:
-        """Release everything as soon as its work is done."""
+        """Start to release all slices, each once its requests have ended."""
         if not self._leaving:
             self._leaving = True
             self.plan()
 
     def cancel_leave(self) -> None:
-        """Stop releasing; what is released stays so."""
+        """Stop releasing slices; those already released stay released."""
         if self._leaving:
             self._leaving = False
             self.plan()
 
     def plan(self) -> None:
-        """Find the slices to release, by the journal and by own wish."""
+        """Find the slices to release: all when leaving, else those moving."""
         state = self._state()
         self._slice_ids = {
             part.slice_id
@@ -93,16 +93,16 @@
         }
 
     def on_accepted(self, message: OfferAccepted) -> None:
-        """Note that the successor would take a slice now."""
+        """Record that the successor can take over a slice now."""
         part = self._state().slices.get(message.slice_id)
         if part is None or part.successor != message.successor:
             return
         if message.slice_id in self._slice_ids and part.fence == message.fence:
             until = self._clock.now() + ACCEPTANCE_S
-            self._accepted[message.slice_id] = until
+            self._accepted_until[message.slice_id] = until
 
     def tick(self, now: float) -> None:
-        """Offer, release what is idle, and repeat what was not taken yet."""
+        """Release idle slices; send the offers and releases that are due."""
         if self._slice_ids:
             self._release_idle(now)
         if now >= self._next_offer_at:
@@ -111,14 +111,14 @@
             self._send_releases()
 
     def _is_accepted(self, slice_id: str) -> bool:
-        until = self._accepted.get(slice_id)
+        until = self._accepted_until.get(slice_id)
         if until is None or slice_id not in self._slice_ids:
             return False
         return until > self._clock.now()
 
     def _can_release(self, part: SliceRow) -> bool:
-        # A slice taken ahead of the journal has no successor of its own yet:
-        # the one that the journal names is this member itself.
+        # A slice acquired ahead of the journal has no new successor yet: the
+        # one that the journal names is this member itself.
         if part.successor in {None, self._row.member}:
             return False
         state = self._state()
@@ -130,22 +130,22 @@
         slices = self._state().slices
         for slice_id in tuple(self._slice_ids):
             accepted = self._is_accepted(slice_id)
-            if accepted and self._work.is_idle(slice_id, now):
+            if accepted and self._in_flight.is_idle(slice_id, now):
                 self._table.release(slices[slice_id])
                 self._slice_ids.discard(slice_id)
-                self._accepted.pop(slice_id)
+                self._accepted_until.pop(slice_id)
                 self._next_offer_at = EARLIEST
 
     def _send_offers(self) -> None:
         slices = self._state().slices
         for slice_id in self._slice_ids:
-            self._tell_successor(Offer, slice_id, slices[slice_id].fence)
+            self._send_to_successor(Offer, slice_id, slices[slice_id].fence)
 
     def _send_releases(self) -> None:
         for slice_id, fence in self._table.released.items():
-            self._tell_successor(Release, slice_id, fence)
+            self._send_to_successor(Release, slice_id, fence)
 
-    def _tell_successor(
+    def _send_to_successor(
         self,
         kind: type[Offer | Release],
         slice_id: str,
@@ -156,6 +156,6 @@
         successor = state.members.get((part and part.successor) or '')
         if successor is None:
             return
-        mine = self._row
-        message = kind(slice_id, mine.member, fence, successor.member, mine.udp)
+        row = self._row
+        message = kind(slice_id, row.member, fence, successor.member, row.udp)
         self._send(message, successor.udp)
--- a/tests/leases/__init__.py
+++ b/tests/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of leases."""
+"""Tests of the lease subsystem."""
--- a/tests/leases/test_polls.py
+++ b/tests/leases/test_polls.py
@@ -1,4 +1,4 @@
-"""Testimony counts only from the witnesses named for the epoch."""
+"""Testimony counts only from the witnesses listed for the epoch."""
 
 from plantaingrade.leases.entity import Testimony
 from plantaingrade.leases.polls import PollTable
@@ -17,9 +17,9 @@
 
 
 def test_one_witness_proves_nothing() -> None:
-    """One witness is cut off from the owner; the owner goes on.
+    """The testimony of a single witness, even twice, must prove nothing.
 
-    The witness's testimony arrives, twice. It takes a majority of three.
+    It may be the only one without a connection to the owner.
     """
     polls = _open()
     assert not polls.on_testimony(_testify('w1#1'), 1.0)
@@ -28,10 +28,10 @@
 
 
 def test_restarted_witness_does_not_count() -> None:
-    """A witness restarted and knows no leases, so it says all are over.
+    """A restarted witness knows no leases, so it reports all as ended.
 
-    Counting it would end a lease that is still renewed, and two servers
-    would act on one key.
+    Counting it would end a lease that is still renewed, and give one key two
+    owners.
     """
     polls = _open()
     assert not polls.on_testimony(_testify('w1#1'), 1.0)
@@ -39,25 +39,24 @@
 
 
 def test_testimony_of_an_older_epoch_does_not_count() -> None:
-    """Former witnesses see no renewals, because the owner has others now."""
+    """Former witnesses get no renewals after the owner has replaced them."""
     polls = _open()
     assert not polls.on_testimony(_testify('w1#1', epoch=1), 1.0)
     assert not polls.on_testimony(_testify('w2#1', epoch=1), 1.0)
     assert not polls.on_testimony(_testify('w3#1', epoch=1), 1.0)
 
 
-def test_denial_proves_nothing() -> None:
-    """Witnesses that still renew the lease say so."""
+def test_negative_testimony_proves_nothing() -> None:
+    """Replies of witnesses that still renew the lease must not count."""
     polls = _open()
     assert not polls.on_testimony(_testify('w1#1', over=False), 1.0)
     assert not polls.on_testimony(_testify('w2#1', over=False), 1.0)
 
 
-def test_no_agreement_to_new_witnesses_once_proven() -> None:
-    """A successor has proven the end and is about to take over.
+def test_new_epoch_is_refused_once_the_end_is_proven() -> None:
+    """The owner returns with new witnesses after its end was proven.
 
-    The owner comes back with new witnesses and asks to be judged by them.
-    Agreeing would leave both acting.
+    If the successor accepted them and took over as well, both would be owners.
     """
     polls = _open()
     polls.on_testimony(_testify('w1#1'), 1.0)
@@ -65,8 +64,8 @@
     assert not polls.accept_epoch('owner#1', 3)
 
 
-def test_agreement_drops_what_old_witnesses_said() -> None:
-    """One former witness testified; after the agreement that is void."""
+def test_accepting_a_new_epoch_drops_earlier_testimony() -> None:
+    """Testimony of former witnesses must not count for the new epoch."""
     polls = _open()
     polls.on_testimony(_testify('w1#1'), 1.0)
     assert polls.accept_epoch('owner#1', 3)
@@ -74,21 +73,21 @@
     assert polls.proven_epoch('owner#1') is None
 
 
-def test_poll_ends_when_nobody_suspects_any_more() -> None:
-    """A short lapse leaves no questions behind."""
+def test_poll_expires_without_further_suspicion() -> None:
+    """A short lapse must not leave a poll open forever."""
     polls = _open()
-    assert polls.asks(0.0, 'me')
-    assert not polls.asks(10.0, 'me')
+    assert polls.requests_due(0.0, 'me')
+    assert not polls.requests_due(10.0, 'me')
     assert not polls.members()
 
 
-def test_open_poll_ends_with_its_epoch() -> None:
-    """The owner has other witnesses now; the former see no renewals.
+def test_outdated_poll_is_dropped() -> None:
+    """Former witnesses get no renewals after the owner has replaced them.
 
-    A poll that went on would prove the end of a lease that is renewed.
+    An open poll would then prove the end of a lease that is still renewed.
     """
     polls = _open()
     polls.on_testimony(_testify('w1#1'), 1.0)
-    polls.outdate('owner#1', 3)
+    polls.drop_outdated('owner#1', 3)
     assert not polls.on_testimony(_testify('w2#1'), 1.0)
     assert polls.proven_epoch('owner#1') is None
--- a/tests/ownership/test_differential.py
+++ b/tests/ownership/test_differential.py
@@ -1,4 +1,4 @@
-"""Replay a recorded trace of faults over ours and over a naive version."""
+"""Replay a recorded trace of faults against this and a naive design."""
 
 import json
 from pathlib import Path
@@ -10,14 +10,14 @@
 SIZE = 6
 SLICES = 12
 STEP_S = 0.02
-SERVED_AGAIN_S = 2.0
+TAKEOVER_LIMIT_S = 2.0
 
 
 def _events() -> list[dict[str, object]]:
     return [json.loads(line) for line in TRACE.read_text().splitlines()]
 
 
-def _order(cluster: FakeCluster, event: dict[str, object]) -> None:
+def _apply(cluster: FakeCluster, event: dict[str, object]) -> None:
     match event:
         case {'event': 'pause', 'server': number}:
             cluster.newest(number).paused = True
@@ -29,14 +29,14 @@
             cluster.isolate(cluster.newest(number))
         case {'event': 'heal'}:
             cluster.cut.clear()
-        case {'event': 'table_down' | 'table_up' as word}:
-            cluster.table_up = word == 'table_up'
+        case {'event': 'table_down' | 'table_up' as kind}:
+            cluster.table_up = kind == 'table_up'
 
 
-def _order_naive(cluster: NaiveCluster, event: dict[str, object]) -> None:
+def _apply_naive(cluster: NaiveCluster, event: dict[str, object]) -> None:
     match event:
-        case {'event': 'pause' | 'resume' as word, 'server': number}:
-            cluster.members[number].paused = word == 'pause'
+        case {'event': 'pause' | 'resume' as kind, 'server': number}:
+            cluster.members[number].paused = kind == 'pause'
         case {'event': 'crash', 'server': number}:
             cluster.members[number].dead = True
         case {'event': 'cut', 'server': number}:
@@ -51,27 +51,27 @@
         cluster.step(STEP_S)
     cluster.double_instants = 0
     cluster.unserved_s = 0.0
-    began = cluster.time
+    started_at = cluster.time
     for event in events:
-        while cluster.time - began < event['at']:
+        while cluster.time - started_at < event['at']:
             cluster.step(STEP_S)
-        _order_naive(cluster, event)
+        _apply_naive(cluster, event)
     return cluster
 
 
 def _replay_ours(events: list[dict[str, object]]) -> tuple[float, float]:
-    """Return unserved slice-seconds and the longest gap of a slice.
+    """Return the unserved slice-seconds and the longest gap in seconds.
 
-    Two owners of a slice at any instant fail the replay itself.
+    The replay itself fails if a slice has two owners at any time.
     """
     cluster = FakeCluster.from_size(SIZE, slices=SLICES)
     slice_ids = list(cluster.members[0].state.slices)
-    began = cluster.time
-    last_served = dict.fromkeys(slice_ids, began)
+    started_at = cluster.time
+    last_served = dict.fromkeys(slice_ids, started_at)
     unserved = 0.0
     longest = 0.0
     for event in events:
-        while cluster.time - began < event['at']:
+        while cluster.time - started_at < event['at']:
             cluster.run(STEP_S)
             for slice_id in slice_ids:
                 if cluster.owner_of(slice_id) is None:
@@ -80,12 +80,12 @@
                     longest = max(longest, gap)
                 else:
                     last_served[slice_id] = cluster.time
-        _order(cluster, event)
+        _apply(cluster, event)
     return unserved, longest
 
 
 def test_quiet_trace_is_served_by_both() -> None:
-    """Without faults both serve every slice all the time, and once."""
+    """Without faults both designs must serve every slice by one owner."""
     quiet = [{'at': 10.0, 'event': 'end'}]
     naive = _replay_naive(quiet)
     assert (naive.double_instants, naive.unserved_s) == (0, 0.0)
@@ -95,12 +95,12 @@
 
 
 def test_faults_give_the_naive_version_two_owners_and_ours_none() -> None:
-    """Pauses, cuts, a crash, an outage, some of them together.
+    """Pauses, partitions, a crash and an outage must not lead to two owners.
 
-    The naive version shows that the trace bites: whoever is cut off or wakes
-    up serves what another serves already.
+    The naive design shows that the trace can detect this: there, an isolated
+    or resumed member serves slices that another member already serves.
     """
     events = _events()
     assert _replay_naive(events).double_instants > 0
     _, longest = _replay_ours(events)
-    assert longest < SERVED_AGAIN_S
+    assert longest < TAKEOVER_LIMIT_S
--- a/tests/ownership/test_machine.py
+++ b/tests/ownership/test_machine.py
@@ -1,4 +1,4 @@
-"""Random interleavings of every fault; one owner per slice at every step."""
+"""Random sequences of faults; each slice has at most one owner throughout."""
 
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
@@ -23,18 +23,18 @@
 MEMBERS = 5
 HOT_KEYS = ('4711', '4712')
 numbers = st.integers(min_value=0, max_value=MEMBERS - 1)
-waits = st.sampled_from([0.02, 0.1, 0.3, 0.7, 0.9, 1.5, 3.0])
+durations = st.sampled_from([0.02, 0.1, 0.3, 0.7, 0.9, 1.5, 3.0])
 
 
 class OwnershipMachine(RuleBasedStateMachine):
-    """Drive a cluster of fakes by rules that stand for the faults."""
+    """Run a cluster of fake members; each rule is a fault or an operation."""
 
     @initialize(
         seed=st.integers(min_value=0, max_value=1000),
         checks=st.booleans(),
     )
     def start(self, seed: int, checks: bool) -> None:
-        """Settle a cluster."""
+        """Start a cluster and let it assign all slices."""
         self.cluster = FakeCluster.from_size(
             MEMBERS,
             seed,
@@ -45,14 +45,14 @@
         self.fence_by_slice: dict[str, tuple[int, str]] = {}
         self.generation = 0
 
-    @rule(seconds=waits)
-    def let_time_pass(self, seconds: float) -> None:
+    @rule(seconds=durations)
+    def advance_time(self, seconds: float) -> None:
         """Run the members and the network."""
         self.cluster.run(seconds)
 
-    @rule(seconds=waits)
+    @rule(seconds=durations)
     def stall_network(self, seconds: float) -> None:
-        """Let time pass while letters stay on their way."""
+        """Let time pass while datagrams are delayed."""
         for _ in range(round(seconds / 0.1)):
             self.cluster.advance(0.1)
             for member in self._running():
@@ -61,7 +61,7 @@
 
     @rule(number=numbers)
     def pause_or_resume(self, number: int) -> None:
-        """Freeze a process, or let it go on as if nothing had happened."""
+        """Pause a process, or resume it without a restart."""
         member = self._newest(number)
         if member.paused:
             member.resume()
@@ -70,19 +70,19 @@
 
     @rule(number=numbers)
     def crash_and_restart(self, number: int) -> None:
-        """Lose a process; another starts at the same address."""
+        """Kill a process; another starts at the same address."""
         if not self.cluster.table_up:
             return
         self._newest(number).dead = True
         self.cluster.join(number)
 
     @rule(number=numbers)
-    def cut_off(self, number: int) -> None:
+    def isolate_member(self, number: int) -> None:
         """Partition a process from all others."""
         self.cluster.isolate(self._newest(number))
 
     @rule(first=numbers, second=numbers)
-    def cut_link(self, first: int, second: int) -> None:
+    def partition(self, first: int, second: int) -> None:
         """Partition two processes from each other."""
         self.cluster.cut.add(frozenset((f's{first}', f's{second}')))
 
@@ -93,12 +93,12 @@
 
     @rule()
     def switch_table(self) -> None:
-        """Take the table service down, or bring it back."""
+        """Start or end an outage of the table service."""
         self.cluster.table_up = not self.cluster.table_up
 
     @rule()
     def switch_answers(self) -> None:
-        """Lose answers of the table service after the write, or stop."""
+        """Start or stop losing responses of the table service to writes."""
         self.cluster.lose_answers = not self.cluster.lose_answers
 
     @rule(share=st.sampled_from([0.0, 0.2, 0.5]))
@@ -107,36 +107,36 @@
         self.cluster.loss = share
 
     @rule(author=numbers, goal=numbers, index=st.integers(0, 2))
-    def wish_move(self, author: int, goal: int, index: int) -> None:
-        """Command a move, perhaps against one that is under way."""
-        wish = OwnerWished(
+    def request_move(self, author: int, goal: int, index: int) -> None:
+        """Request a move, possibly while another one is in progress."""
+        change = OwnerWished(
             f'{SERVICE}/{index}',
             self._newest(goal).name,
             f'c{author}',
         )
-        self._append(author, wish)
+        self._append(author, change)
 
     @rule(author=numbers, key=st.sampled_from(HOT_KEYS), goal=numbers)
     def move_hot_key(self, author: int, key: str, goal: int) -> None:
-        """Give a key an assignment of its own and move it."""
+        """Split a hot key off its range and move it."""
         slice_id = hot_slice_id(SERVICE, key)
-        wish = OwnerWished(slice_id, self._newest(goal).name, 'hot')
-        self._append(author, Carved(SERVICE, key), wish)
+        change = OwnerWished(slice_id, self._newest(goal).name, 'hot')
+        self._append(author, Carved(SERVICE, key), change)
 
     @rule(author=numbers, key=st.sampled_from(HOT_KEYS))
     def merge_hot_key(self, author: int, key: str) -> None:
-        """Return a cooled key to its range."""
+        """Merge a hot key back into its range."""
         self._append(author, Merged(hot_slice_id(SERVICE, key)))
 
     @rule(author=numbers, goal=numbers, drain=st.booleans())
     def drain_or_resume(self, author: int, goal: int, drain: bool) -> None:
-        """Drain a server, or take that back."""
+        """Drain a server, or cancel the drain."""
         state = MemberState.DRAINING if drain else MemberState.READY
         self._append(author, StateSet(self._newest(goal).name, state))
 
     @rule(number=numbers)
     def leave(self, number: int) -> None:
-        """Stop a process as planned."""
+        """Start the planned stop of a process."""
         member = self._newest(number)
         if member.running:
             member.ownership.handover.leave()
@@ -144,13 +144,13 @@
     @precondition(lambda self: hasattr(self, 'cluster'))
     @invariant()
     def one_owner(self) -> None:
-        """No two members would act on one slice, paused ones included."""
+        """No two members own one slice, paused members included."""
         self.cluster.check()
 
     @precondition(lambda self: hasattr(self, 'cluster'))
     @invariant()
-    def fences_rise(self) -> None:
-        """A new owner's fence is above every earlier owner's."""
+    def fences_increase(self) -> None:
+        """The fence of a new owner is above those of all earlier owners."""
         for member in self._running():
             for slice_id, fence in member.owned().items():
                 known = self.fence_by_slice.get(slice_id, (0, ''))
@@ -161,14 +161,14 @@
     @precondition(lambda self: hasattr(self, 'cluster'))
     @invariant()
     def copies_agree(self) -> None:
-        """Copies of the map at one generation are the same."""
+        """Copies of the map at the same generation are equal."""
         copies: dict[int, object] = {}
         for member in self.cluster.members:
             state = member.state
             assert copies.setdefault(state.generation, state) == state
 
     def teardown(self) -> None:
-        """Once all faults end, every slice is served again."""
+        """Check that every slice is served again once all faults have ended."""
         if not hasattr(self, 'cluster'):
             return
         cluster = self.cluster
@@ -198,7 +198,7 @@
             member.append(*changes)
 
 
-# Derandomized: CI gives the same verdict on every run.
+# Derandomized, so that CI gets the same result on every run.
 OwnershipMachine.TestCase.settings = settings(
     max_examples=25,
     stateful_step_count=30,
--- a/tests/ownership/test_table.py
+++ b/tests/ownership/test_table.py
@@ -1,4 +1,4 @@
-"""Steps a process takes ahead of the journal."""
+"""Ownership steps that a process takes ahead of the journal."""
 
 from plantaingrade.journal.entity import (
     Announced,
@@ -56,16 +56,15 @@
 
 
 def renounce(state: MapState, slice_id: str, member: str) -> list[object]:
-    """Let a successor stand back from its present naming."""
+    """Append the renunciation of the current successor."""
     fence = state.slices[slice_id].successor_fence
     return append(state, Renounced(slice_id, member, fence))
 
 
 def test_late_renunciation_does_not_cancel_a_newer_naming() -> None:
-    """Two owners, found by the state machine after some thousand examples.
+    """A renunciation that is appended twice must not lead to two owners.
 
-    A successor's renunciation is appended twice, the second time after it
-    was named anew and had taken the slice over.
+    The second time, the successor had been named again and had taken over.
     """
     state = make_state()
     append(state, SuccessorWished(SLICE, 'c'))
@@ -78,30 +77,30 @@
     assert state.slices[SLICE].successor == 'b'
 
 
-def test_renounced_slice_is_not_taken() -> None:
-    """A successor stands back, then sees the owner's lease end.
+def test_renounced_slice_is_not_acquired() -> None:
+    """A member that has renounced must not take over the slice.
 
-    Its copy of the journal still names it. Taking the slice over would make
-    it owner beside the newly named successor.
+    Its copy of the journal still names it as successor. With the newly named
+    successor there would be two owners.
     """
     state = make_state()
     append(state, SuccessorWished(SLICE, 'c'))
     table = OwnershipTable('b')
     assert table.renounce(state.slices[SLICE])
-    assert not table.take(state.slices[SLICE])
+    assert not table.acquire(state.slices[SLICE])
 
 
-def test_taken_slice_is_not_renounced() -> None:
-    """The wish for another successor comes after the takeover."""
+def test_acquired_slice_is_not_renounced() -> None:
+    """A request for another successor may arrive after the takeover."""
     state = make_state()
     table = OwnershipTable('b')
-    assert table.take(state.slices[SLICE])
+    assert table.acquire(state.slices[SLICE])
     assert not table.renounce(state.slices[SLICE])
     assert table.fence(state, state.slices[SLICE]) is not None
 
 
-def test_renouncing_once_does_not_bind_for_ever() -> None:
-    """A member that stood back can be named again later."""
+def test_member_that_renounced_can_be_named_again() -> None:
+    """An old renunciation must not block a later takeover."""
     state = make_state()
     append(state, SuccessorWished(SLICE, 'c'))
     table = OwnershipTable('b')
@@ -109,12 +108,12 @@
     renounce(state, SLICE, 'b')
     append(state, SuccessorWished(SLICE, 'b'))
     renounce(state, SLICE, 'c')
-    table.settle(state)
-    assert table.take(state.slices[SLICE])
+    table.drop_recorded(state)
+    assert table.acquire(state.slices[SLICE])
 
 
 def test_released_slice_is_never_served_again() -> None:
-    """The owner released; its copy of the journal still names it owner."""
+    """The former owner's copy of the journal still names it as owner."""
     state = make_state()
     table = OwnershipTable('a')
     table.release(state.slices[SLICE])
@@ -122,20 +121,20 @@
 
 
 def test_release_under_another_fence_is_ignored() -> None:
-    """A release sent before an earlier move arrives late."""
+    """A release that was sent before an earlier move may arrive late."""
     state = make_state()
     part = state.slices[SLICE]
     table = OwnershipTable('b')
-    assert not table.take_released(part, 'a', part.fence - 1)
-    assert not table.take_released(part, 'c', part.fence)
-    assert table.take_released(part, 'a', part.fence)
+    assert not table.acquire_released(part, 'a', part.fence - 1)
+    assert not table.acquire_released(part, 'c', part.fence)
+    assert table.acquire_released(part, 'a', part.fence)
 
 
 def test_key_carved_out_of_a_released_range_is_released_too() -> None:
-    """A housing case turns hot in the moment its range is handed over.
+    """A key is split off as hot while its range is handed over.
 
-    The owner releases the range, the successor takes it and serves the key.
-    Then the journal shows the key carved out, still under the old owner.
+    The successor already serves the key when the journal shows it split off
+    with the old owner. There must not be two owners.
     """
     state = make_state()
     table = OwnershipTable('a')
@@ -147,20 +146,20 @@
     assert table.fence(state, hot) is None
 
 
-def test_settle_forgets_what_the_journal_shows() -> None:
-    """Notes do not pile up."""
+def test_recorded_steps_are_dropped() -> None:
+    """Steps that the journal shows must not accumulate."""
     state = make_state()
     part = state.slices[SLICE]
     table = OwnershipTable('b')
-    table.take(part)
+    table.acquire(part)
     append(state, Took(SLICE, 'b', part.successor_fence))
-    table.settle(state)
+    table.drop_recorded(state)
     assert not table.acquired
     assert table.fence(state, state.slices[SLICE]) is not None
 
 
 def test_merge_waits_for_a_newer_fence() -> None:
-    """A cooled key goes back to its range only when no fence falls."""
+    """A former hot key returns to its range only if no fence decreases."""
     state = make_state()
     append(state, Carved('casebook', KEY))
     assert append(state, Merged(HOT)) == [Applied()]
@@ -168,7 +167,7 @@
 
 
 def test_merge_of_parts_with_different_successors_is_refused() -> None:
-    """Two successors would take the key over when the owner dies."""
+    """Two successors would take over the key when the owner fails."""
     state = make_state()
     append(state, Carved('casebook', KEY))
     append(state, SuccessorWished(HOT, 'c'))
--- a/tests/ownership/test_takeover.py
+++ b/tests/ownership/test_takeover.py
@@ -1,4 +1,4 @@
-"""Ownership moves on when its holder is lost, and never stands twice."""
+"""Slices pass to a successor when the owner fails, without two owners."""
 
 import pytest
 
@@ -16,12 +16,12 @@
 )
 from plantaingrade.journal.keys import hot_slice_id, slice_index
 from plantaingrade.leases.const import LEASE_S
-from plantaingrade.leases.entity import Ask, Lapsed
+from plantaingrade.leases.entity import Lapsed, TestimonyRequest
 from plantaingrade.ownership.entity import LeaseLapsed, Owned
 from tests.cluster import SERVICE, FakeCluster, FakeMember
 
 SLICE = 'casebook/0'
-SERVED_AGAIN_S = 2.0
+TAKEOVER_LIMIT_S = 2.0
 
 
 @pytest.fixture
@@ -36,13 +36,13 @@
     return owner
 
 
-def _moved_from(cluster: FakeCluster, member: FakeMember) -> bool:
+def _is_taken_over_from(cluster: FakeCluster, member: FakeMember) -> bool:
     owner = cluster.owner_of(SLICE)
     return owner is not None and owner is not member
 
 
 def test_settled_cluster_serves_every_slice(cluster: FakeCluster) -> None:
-    """Every slice has one owner, and a successor in another zone."""
+    """Each slice must have an owner, and a successor in another zone."""
     state = cluster.members[0].state
     for slice_id, part in state.slices.items():
         assert cluster.owner_of(slice_id) is not None
@@ -50,50 +50,52 @@
         assert state.members[owner].zone != state.members[successor].zone
 
 
-def test_killed_owner_is_succeeded_within_two_seconds(
+def test_killed_owner_is_replaced_within_two_seconds(
     cluster: FakeCluster,
 ) -> None:
-    """A resident waits at the desk: the owner's instance is lost.
+    """Slices of a failed owner must be served again within two seconds.
 
-    The owner dies; its lease runs out at the witnesses; the successor named
-    in the journal collects their testimony and serves.
+    Its lease expires at the witnesses, and the successor named in the journal
+    takes over with their testimony.
     """
     owner = _owner(cluster)
     owner.dead = True
-    took = cluster.until(lambda: _moved_from(cluster, owner), SERVED_AGAIN_S)
+    took = cluster.until(
+        lambda: _is_taken_over_from(cluster, owner), TAKEOVER_LIMIT_S
+    )
     assert took >= LEASE_S / 2
 
 
-def test_killed_owner_is_succeeded_while_table_is_down(
+def test_killed_owner_is_replaced_while_table_is_down(
     cluster: FakeCluster,
 ) -> None:
-    """The table service is down for long, and an owner dies meanwhile.
+    """A takeover must not depend on the table service.
 
-    Nothing can be written, but owner and successor were agreed on before.
-    Everything else goes on, and the journal catches up afterwards.
+    Owner and successor are recorded before a long outage. The takeover is
+    written to the journal after it.
     """
     owner = _owner(cluster)
     cluster.table_up = False
     cluster.run(60)
     assert _owner(cluster) is owner
     owner.dead = True
-    cluster.until(lambda: _moved_from(cluster, owner), SERVED_AGAIN_S)
-    heir = _owner(cluster)
+    cluster.until(lambda: _is_taken_over_from(cluster, owner), TAKEOVER_LIMIT_S)
+    new_owner = _owner(cluster)
     cluster.run(30)
-    assert _owner(cluster) is heir
+    assert _owner(cluster) is new_owner
     cluster.table_up = True
     cluster.run(3)
-    assert heir.state.slices[SLICE].owner == heir.name
-    assert owner.name not in heir.state.members
+    assert new_owner.state.slices[SLICE].owner == new_owner.name
+    assert owner.name not in new_owner.state.members
 
 
-def test_crash_of_owner_and_successor_in_outage_is_mended_after_it(
+def test_crash_of_owner_and_successor_in_outage_is_recovered_after_it(
     cluster: FakeCluster,
 ) -> None:
-    """Owner and successor both die while the table service is down.
+    """Owner and successor both fail while the table service is down.
 
-    Nobody else may take the slice then: the journal cannot name another. It
-    is served again soon after the table is back.
+    No other member may take over, as the journal cannot name a new successor.
+    The slice must be served again soon after the outage.
     """
     owner = _owner(cluster)
     successor = cluster.named(owner.state.slices[SLICE].successor)
@@ -106,17 +108,16 @@
     cluster.until(lambda: cluster.owner_of(SLICE) is not None, 6)
 
 
-def test_paused_owner_knows_that_its_lease_is_past(
+def test_paused_owner_detects_that_its_lease_has_ended(
     cluster: FakeCluster,
 ) -> None:
-    """Two servers would act on one case: the owner pauses, then goes on.
+    """An owner paused for longer than its lease must not serve afterwards.
 
-    The process stops for longer than its lease, the successor takes over,
-    and the old owner wakes up with a request in hand.
+    The successor has taken over when the old owner resumes with a request.
     """
     owner = _owner(cluster)
     owner.paused = True
-    cluster.until(lambda: _moved_from(cluster, owner), SERVED_AGAIN_S)
+    cluster.until(lambda: _is_taken_over_from(cluster, owner), TAKEOVER_LIMIT_S)
     part = owner.state.slices[SLICE]
     assert isinstance(owner.ownership.ownership_of(part), LeaseLapsed)
     owner.resume()
@@ -127,7 +128,7 @@
 def test_owner_paused_for_less_than_its_lease_goes_on(
     cluster: FakeCluster,
 ) -> None:
-    """A short pause costs nothing: nobody takes over."""
+    """A short pause must not cause a takeover."""
     owner = _owner(cluster)
     owner.paused = True
     cluster.run(LEASE_S / 2)
@@ -139,21 +140,21 @@
 def test_owner_cut_off_from_peers_stops_before_successor_starts(
     cluster: FakeCluster,
 ) -> None:
-    """Both sides of a partition would serve the key.
+    """Both sides of a partition must not serve the same key.
 
     The owner still reaches callers and the table service but none of its
     witnesses. Its lease ends on its own clock before any witness testifies.
     """
     owner = _owner(cluster)
     cluster.isolate(owner)
-    cluster.until(lambda: _moved_from(cluster, owner), SERVED_AGAIN_S)
+    cluster.until(lambda: _is_taken_over_from(cluster, owner), TAKEOVER_LIMIT_S)
 
 
-def test_partition_that_heals_leaves_one_owner(cluster: FakeCluster) -> None:
-    """A partition heals after the takeover; the old owner gets nothing back."""
+def test_healed_partition_leaves_one_owner(cluster: FakeCluster) -> None:
+    """The old owner must not own slices again when a partition heals."""
     owner = _owner(cluster)
     cluster.isolate(owner)
-    cluster.until(lambda: _moved_from(cluster, owner), SERVED_AGAIN_S)
+    cluster.until(lambda: _is_taken_over_from(cluster, owner), TAKEOVER_LIMIT_S)
     cluster.cut.clear()
     cluster.run(5)
     assert _owner(cluster) is not owner
@@ -162,16 +163,16 @@
 
 @pytest.mark.parametrize('lost', [1, 2])
 def test_lost_witnesses_are_replaced(cluster: FakeCluster, lost: int) -> None:
-    """Witnesses die, one or two of three at once; ownership goes on.
+    """The loss of one or two of three witnesses must not end ownership.
 
-    With two gone the owner's lease lapses. It names new witnesses in the
-    journal and goes on as soon as its successors know of them.
+    With two lost the owner's lease lapses. The owner names new witnesses in
+    the journal and goes on once its successors have accepted them.
     """
     owner = _owner(cluster)
     old = owner.row.witnesses
     successors = {part.successor for part in owner.state.slices.values()}
-    mortal = [name for name in old if name not in successors]
-    for name in mortal[:lost]:
+    candidates = [name for name in old if name not in successors]
+    for name in candidates[:lost]:
         cluster.named(name).dead = True
     cluster.run(6)
     for slice_id in owner.state.slices:
@@ -180,42 +181,43 @@
     assert set(owner.row.witnesses) <= alive
 
 
-def test_restarted_witness_counts_for_nothing() -> None:
-    """A witness restarts and has forgotten whose lease it renewed.
+def test_restarted_witness_does_not_count() -> None:
+    """A restarted witness does not know which leases it renewed.
 
-    If its testimony counted, one other lapsed witness would be enough to end
-    a lease that is still renewed.
+    If its testimony counted, that of one more witness without renewals would
+    end a lease that is still renewed.
     """
     cluster = FakeCluster.from_size(5)
     owner = _owner(cluster)
     witness = cluster.named(owner.row.witnesses[0])
     witness.dead = True
     cluster.table_up = False
-    reborn = FakeMember(witness.row, cluster)
-    reborn.leases.witness.member = 'reborn'
-    cluster.members[cluster.members.index(witness)] = reborn
+    restarted = FakeMember(witness.row, cluster)
+    restarted.leases.witness.member = 'reborn'
+    cluster.members[cluster.members.index(witness)] = restarted
     cluster.run(5)
     assert _owner(cluster) is owner
 
 
-def test_unchecking_server_is_given_time_to_stop() -> None:
-    """A server that checks nothing finishes work of the old owner late.
+def test_takeover_waits_for_server_without_fence_checks() -> None:
+    """A server that checks no fences may run requests of the old owner late.
 
-    Its process paused after sending work whose deadline is the lease's end
-    plus the declared grace. The successor waits that grace out.
+    The owner may have been paused right after it sent them. Their deadline is
+    the end of the lease plus the declared grace, so the successor must wait
+    until the grace has passed.
     """
     cluster = FakeCluster.from_size(6, checks_fence=False)
     owner = _owner(cluster)
     until = owner.leases.expires_at()
     owner.dead = True
-    cluster.until(lambda: _moved_from(cluster, owner), SERVED_AGAIN_S)
+    cluster.until(lambda: _is_taken_over_from(cluster, owner), TAKEOVER_LIMIT_S)
     assert cluster.time >= until + 0.4
 
 
 def test_planned_move_leaves_no_gap_and_one_owner(
     cluster: FakeCluster,
 ) -> None:
-    """An operator moves a slice; owner, successor and target all cooperate."""
+    """A move that an operator requests must not leave the slice unserved."""
     owner = _owner(cluster)
     part = owner.state.slices[SLICE]
     target = next(
@@ -234,9 +236,9 @@
     victim: str,
     after_s: float,
 ) -> None:
-    """A move is under way when one of its three parties dies.
+    """One of the three members of a move may fail at any step of it.
 
-    Whatever step was reached, the slice has one owner again in the end.
+    The slice must have exactly one owner in the end.
     """
     owner = _owner(cluster)
     part = owner.state.slices[SLICE]
@@ -257,39 +259,39 @@
 def test_leaving_without_table_hands_over_at_once(
     cluster: FakeCluster,
 ) -> None:
-    """A planned stop in an outage harms nobody.
+    """A planned stop during an outage of the table service must be fast.
 
-    The table service is down; the leaving owner releases straight to the
-    successors that the journal named before.
+    The leaving owner releases its slices directly to the successors that the
+    journal named before.
     """
     owner = _owner(cluster)
     cluster.table_up = False
     owner.ownership.handover.leave()
-    took = cluster.until(lambda: _moved_from(cluster, owner), 1)
+    took = cluster.until(lambda: _is_taken_over_from(cluster, owner), 1)
     assert took < LEASE_S
     assert not owner.owned()
 
 
-def test_release_waits_for_work_that_may_still_run(
+def test_release_waits_for_requests_that_may_still_run(
     cluster: FakeCluster,
 ) -> None:
-    """A doubled deposit hold: lost work runs on while the key moves.
+    """A request must not be executed twice because its key moves meanwhile.
 
-    A request's answer was lost; its server may work until the deadline. The
-    owner keeps the slice until then.
+    Its response was lost, so the server may run it until its deadline. The
+    owner must keep the slice until then.
     """
     owner = _owner(cluster)
-    work = owner.ownership.in_flight
-    work.begin(SLICE)
+    in_flight = owner.ownership.in_flight
+    in_flight.begin(SLICE)
     deadline = owner.clock.now() + 1
-    work.end(SLICE, may_run_until=deadline)
+    in_flight.end(SLICE, may_run_until=deadline)
     owner.append(Moving(SLICE, 'c1'))
-    cluster.until(lambda: _moved_from(cluster, owner), 3)
+    cluster.until(lambda: _is_taken_over_from(cluster, owner), 3)
     assert owner.clock.now() >= deadline
 
 
 def test_draining_server_is_emptied(cluster: FakeCluster) -> None:
-    """A server is drained by command: its slices go, no new ones come."""
+    """A drained server must lose all its slices and get no new ones."""
     owner = _owner(cluster)
     owner.append(StateSet(owner.name, MemberState.DRAINING))
     cluster.until(lambda: not owner.owned(), 3)
@@ -297,8 +299,8 @@
     assert not owner.owned()
 
 
-def test_lost_datagrams_do_not_cost_ownership() -> None:
-    """One datagram in ten is lost; no ownership changes for that."""
+def test_lost_datagrams_do_not_change_ownership() -> None:
+    """A loss of one datagram in ten must not cause any takeover."""
     cluster = FakeCluster.from_size(6)
     slices = cluster.members[0].state.slices
     before = {slice_id: cluster.owner_of(slice_id) for slice_id in slices}
@@ -310,13 +312,12 @@
     assert before == after
 
 
-def test_rejected_hot_key_leaves_the_range_as_it_is(
+def test_rejected_hot_key_leaves_the_range_unchanged(
     cluster: FakeCluster,
 ) -> None:
-    """A key turns hot while its range is being moved, which is refused.
+    """A key may not be split off as hot while its range is moved.
 
-    The owner follows the journal past the refused change. (Found by the
-    state machine: the process stopped there.)
+    The owner's process must continue after the rejected change in the journal.
     """
     owner = _owner(cluster)
     owner.append(Moving(SLICE, 'c1'))
@@ -337,14 +338,14 @@
         member.ownership.tick()
 
 
-def test_proof_under_replaced_witnesses_is_void_for_a_new_successor(
+def test_proof_of_replaced_witnesses_is_invalid_for_a_new_successor(
     cluster: FakeCluster,
 ) -> None:
-    """Two owners, found by the state machine in a few hundred examples.
+    """Testimony of replaced witnesses must not lead to two owners.
 
-    A member collects testimony about an owner; meanwhile the owner replaces
-    its witnesses, waiting only for those who are its successors. Then the
-    member is named successor: what the former witnesses said is void.
+    A member collects testimony while the owner replaces its witnesses, which
+    needs the consent of its successors only. Then the member is named
+    successor; the earlier testimony must not count for it.
     """
     owner = _owner(cluster)
     epoch = owner.row.epoch
@@ -358,13 +359,14 @@
     assert SLICE not in successor.ownership.table.acquired
 
 
-def test_proof_before_the_change_holds_for_who_was_successor(
+def test_proof_before_the_change_is_valid_for_the_same_successor(
     cluster: FakeCluster,
 ) -> None:
-    """The owner dies just after it wrote down new witnesses.
+    """The owner fails just after it has recorded new witnesses.
 
-    Its successor has proven the end under the old ones, and has not agreed
-    to the new ones; the owner could not have gone on without that.
+    Its successor has proven the end by the old ones and has not accepted the
+    new ones. The owner could not have gone on without that, so the successor
+    may take over.
     """
     owner = _owner(cluster)
     epoch = owner.row.epoch
@@ -378,31 +380,33 @@
 def test_takeover_names_the_next_successor_itself(
     cluster: FakeCluster,
 ) -> None:
-    """An owner dies, then the table service goes down, then the heir dies.
+    """An owner fails, then the table service, then the new owner.
 
-    No decider had time to name a successor for the heir. (Found in the demo:
-    three slices stayed unserved for the length of the outage.)
+    No decider had time to name a successor for the new owner. Unless it does
+    so itself, slices stay unserved as long as the outage lasts.
     """
     owner = _owner(cluster)
     owner.dead = True
-    cluster.until(lambda: _moved_from(cluster, owner), SERVED_AGAIN_S)
-    heir = _owner(cluster)
-    heir.append(*heir.ownership.pending_changes())
+    cluster.until(lambda: _is_taken_over_from(cluster, owner), TAKEOVER_LIMIT_S)
+    new_owner = _owner(cluster)
+    new_owner.append(*new_owner.ownership.pending_changes())
     for member in cluster.members:
         member.catch_up()
     cluster.table_up = False
-    heir.dead = True
-    cluster.until(lambda: _moved_from(cluster, heir), SERVED_AGAIN_S)
+    new_owner.dead = True
+    cluster.until(
+        lambda: _is_taken_over_from(cluster, new_owner), TAKEOVER_LIMIT_S
+    )
 
 
-def test_member_without_lease_still_writes_a_proof_down(
+def test_member_without_lease_still_records_a_proof(
     cluster: FakeCluster,
 ) -> None:
-    """Two losses at once block each other: each waits for the other's end.
+    """Two failures at once must not block each other's recovery.
 
-    A member that lost the majority of its own witnesses has proven the end
-    of another. It may take nothing, but the proof must reach the journal.
-    (Found by the replay: slices unserved for 13 s.)
+    A member that lost the majority of its own witnesses has proven the end of
+    a peer. It may not take over, but must record the proof: without it slices
+    were unserved for 13 s.
     """
     owner = _owner(cluster)
     successor = cluster.named(owner.state.slices[SLICE].successor)
@@ -418,9 +422,10 @@
 def test_owner_names_a_new_successor_without_decider(
     cluster: FakeCluster,
 ) -> None:
-    """The successor is lost while nobody decides, then the owner.
+    """The successor fails while there is no decider, then the owner.
 
-    (Found in the demo: six slices unserved for the length of an outage.)
+    Unless the owner has named a new successor itself, its slices stay unserved
+    as long as an outage lasts.
     """
     owner = _owner(cluster)
     successor = cluster.named(owner.state.slices[SLICE].successor)
@@ -430,16 +435,16 @@
     assert owner.state.slices[SLICE].successor not in {None, successor.name}
     cluster.table_up = False
     owner.dead = True
-    cluster.until(lambda: _moved_from(cluster, owner), SERVED_AGAIN_S)
+    cluster.until(lambda: _is_taken_over_from(cluster, owner), TAKEOVER_LIMIT_S)
 
 
-def test_old_witnesses_are_needed_until_the_successor_agrees(
+def test_old_witnesses_are_required_until_the_successor_accepts(
     cluster: FakeCluster,
 ) -> None:
-    """An owner replaces a lost witness; its successor cannot be reached.
+    """An owner replaces a failed witness while it cannot reach its successor.
 
-    The successor may still judge it by the old witnesses. Dropping them would
-    let it prove the end of a lease that is renewed at the new ones.
+    The successor may still poll the old witnesses. If the owner dropped them,
+    the successor could prove the end of a lease that the new ones renew.
     """
     owner = _owner(cluster)
     successors = {
@@ -465,33 +470,33 @@
     assert _owner(cluster) is owner
 
 
-def test_old_proof_leaves_the_grace_for_newer_work() -> None:
-    """A server that checks nothing works on while its key is taken over.
+def test_old_proof_does_not_shorten_the_grace() -> None:
+    """A server that checks no fences may still run requests at a takeover.
 
-    A member once proved the owner's end under witnesses that the owner then
-    replaced and outlived. When the owner really ends, its last work still has
-    its grace; the old plan lies in the past and must not shorten it.
+    A member proved the owner's end by witnesses that the owner then replaced.
+    When the owner ends later, its last requests must get the full grace,
+    although the takeover planned by the old proof is overdue.
     """
     cluster = FakeCluster.from_size(6, checks_fence=False)
     owner = _owner(cluster)
     epoch = owner.row.epoch
     owner.append(Witnessed(owner.name, owner.row.witnesses, epoch + 1))
     part = owner.state.slices[SLICE]
-    heir = cluster.named(part.successor)
-    heir.append(Renounced(SLICE, heir.name, part.successor_fence))
-    heir.append(SuccessorNamed(SLICE, heir.name))
-    _prove(heir, owner.name, epoch)
-    assert SLICE not in heir.ownership.table.acquired
-    heir.append(Ended(owner.name, Proof.TESTIMONY, epoch + 1))
-    heir.ownership.tick()
-    assert SLICE not in heir.ownership.table.acquired
+    new_owner = cluster.named(part.successor)
+    new_owner.append(Renounced(SLICE, new_owner.name, part.successor_fence))
+    new_owner.append(SuccessorNamed(SLICE, new_owner.name))
+    _prove(new_owner, owner.name, epoch)
+    assert SLICE not in new_owner.ownership.table.acquired
+    new_owner.append(Ended(owner.name, Proof.TESTIMONY, epoch + 1))
+    new_owner.ownership.tick()
+    assert SLICE not in new_owner.ownership.table.acquired
 
 
 def test_leaving_successor_accepts_nothing(cluster: FakeCluster) -> None:
-    """Owner and successor are stopped at the same moment.
+    """Owner and successor are stopped at the same time.
 
-    They must not pass slices to and fro; the owner waits for a successor
-    that stays.
+    They must not pass slices back and forth; the owner waits for a successor
+    that is not leaving.
     """
     owner = _owner(cluster)
     successor = cluster.named(owner.state.slices[SLICE].successor)
@@ -502,11 +507,11 @@
     assert _owner(cluster) is owner
 
 
-def test_former_witnesses_fall_silent(cluster: FakeCluster) -> None:
-    """An owner has replaced a witness that goes on living.
+def test_former_witnesses_stop_sending_notices(cluster: FakeCluster) -> None:
+    """A replaced witness that still runs must stop sending notices.
 
-    The former witness tells of the lapse for a while, then no more: nothing
-    but renewals is sent once all is well. (Found in a profile of idle nodes.)
+    It reports the lapse of the lease for a while. After that, idle members
+    must send nothing but renewals.
     """
     owner = _owner(cluster)
     former = cluster.named(owner.row.witnesses[0])
@@ -524,4 +529,4 @@
         sent |= {type(letter.message) for letter in cluster.network}
         cluster.deliver()
     assert Lapsed not in sent
-    assert Ask not in sent
+    assert TestimonyRequest not in sent
