--- a/plantaingrade/keyspace/__init__.py
+++ b/plantaingrade/keyspace/__init__.py
@@ -1,1 +1,1 @@
-"""Who owns which keys: ranges, fences, and the ways they may change."""
+"""Key maps: key ranges, their owners and fences, and changes of them."""
--- a/plantaingrade/keyspace/assign.py
+++ b/plantaingrade/keyspace/assign.py
@@ -1,7 +1,7 @@
-"""Pure changes of a key map.
+"""Changes of a key map, as pure functions.
 
-Each change gives the keys it touches a fence above all that were used before,
-so that a backend server refuses whatever an earlier owner still sends.
+Each change gives the changed keys a fence above all earlier ones, so that a
+backend server rejects what a previous owner still sends.
 """
 
 from bisect import bisect_right
@@ -18,13 +18,13 @@
 )
 
 FIRST_FENCE = 1
-# More than are used in one epoch of the store. The largest fence is then a
-# whole number that all writers of JSON keep.
+# More than are used in one epoch of the store, yet few enough that the largest
+# fence is an integer that all JSON implementations preserve.
 FENCES_PER_EPOCH = 1_000_000_000
 
 
 def split_evenly(owners: Iterable[str], epoch: int = 0) -> KeyMap:
-    """Return a first map of an epoch that gives each owner as many keys."""
+    """Return the first map of an epoch, with the keys split evenly."""
     names = sorted(owners)
     if not names:
         return KeyMap((), 0)
@@ -40,18 +40,19 @@
 
 
 def next_fence(key_map: KeyMap, epoch: int) -> int:
-    """Return a fence above all of a map, and above those of earlier epochs.
+    """Return a fence above all those of a map and of earlier epochs.
 
-    The map may lack what an earlier epoch has lost, and its fences with it.
+    The map may lack changes of an earlier epoch that were lost, and with them
+    the fences that were used there.
     """
     return max(key_map.fence + 1, epoch * FENCES_PER_EPOCH + FIRST_FENCE)
 
 
 def split_range(keys: KeyRange, pieces: int) -> list[KeyRange]:
-    """Return a range cut into pieces of about the same number of keys."""
+    """Return a range split into at most ``pieces`` parts of similar size."""
     pieces = min(pieces, len(keys))
     size = len(keys)
-    edges = [keys.first + size * place // pieces for place in range(pieces + 1)]
+    edges = [keys.first + size * index // pieces for index in range(pieces + 1)]
     return [KeyRange(first, after - 1) for first, after in pairwise(edges)]
 
 
@@ -60,7 +61,7 @@
     owner_by_keys: dict[KeyRange, str],
     epoch: int = 0,
 ) -> KeyMap:
-    """Return the map after ranges have passed to owners in an epoch."""
+    """Return the map with ranges assigned to new owners in an epoch."""
     fence = next_fence(key_map, epoch)
     changes = [
         Assignment(keys, owner, fence) for keys, owner in owner_by_keys.items()
@@ -71,23 +72,23 @@
 def overlay(
     key_map: KeyMap, changes: Iterable[Assignment], fence: int
 ) -> KeyMap:
-    """Return the map with assignments in place of what they cover.
+    """Return the map with assignments replacing those that they overlap.
 
-    Load that answers: each change is applied by every member, so what does
-    not change is taken over as it is.
+    Every member applies every change, so unchanged assignments are reused to
+    keep the load low.
     """
     pieces = list(key_map.assignments)
     for change in changes:
-        pieces = _laid(pieces, change)
+        pieces = _overlay_one(pieces, change)
     return KeyMap(tuple(pieces), fence, key_map.version)
 
 
 def merge(newer: KeyMap, known: KeyMap) -> KeyMap:
-    """Return the later assignment of each key, as the map that is newer.
+    """Return the later assignment of each key, at the newer map's version.
 
-    The newer map may come from a copy of the store and lack what is known of
-    the seconds before. Of one key the assignment with the higher fence is the
-    later one.
+    The newer map may come from a store restored from a backup, and lack known
+    changes of the seconds before. The assignment of a key with the higher fence
+    is the later one.
     """
     if not known.assignments:
         return newer
@@ -97,38 +98,42 @@
         {each.keys.first for each in newer.assignments + known.assignments}
     )
     pieces = [
-        _later(newer.find(first), known.find(first), KeyRange(first, after - 1))
+        _newer_of(
+            newer.find(first), known.find(first), KeyRange(first, after - 1)
+        )
         for first, after in pairwise([*firsts, KEY_COUNT])
     ]
     fence = max(newer.fence, known.fence)
-    return KeyMap(tuple(_joined(pieces)), fence, newer.version)
+    return KeyMap(tuple(_join_adjacent(pieces)), fence, newer.version)
 
 
-def _later(one: Assignment, other: Assignment, keys: KeyRange) -> Assignment:
-    """Return what is assigned last of some keys; the first one if even."""
+def _newer_of(one: Assignment, other: Assignment, keys: KeyRange) -> Assignment:
+    """Return the assignment with the higher fence; the first if equal."""
     later = one if one.fence >= other.fence else other
     return Assignment(keys, later.owner, later.fence)
 
 
-def _laid(pieces: list[Assignment], change: Assignment) -> list[Assignment]:
-    """Put an assignment over what it covers, and join it with neighbours."""
+def _overlay_one(
+    pieces: list[Assignment], change: Assignment
+) -> list[Assignment]:
+    """Replace what an assignment overlaps, and join it with its neighbours."""
     first, last = change.keys.first, change.keys.last
     start = max(0, bisect_right(pieces, first, key=_first_key) - 1)
     end = bisect_right(pieces, last, key=_first_key)
-    rests = [
+    remainders = [
         Assignment(rest, piece.owner, piece.fence)
         for piece in pieces[start:end]
         for rest in piece.keys.without(change.keys)
     ]
-    laid = sorted([*rests, change], key=_first_key)
+    replaced = sorted([*remainders, change], key=_first_key)
     before = max(0, start - 1)
     after = end + 1
-    near = pieces[before:start] + laid + pieces[end:after]
-    return pieces[:before] + _joined(near) + pieces[after:]
+    near = pieces[before:start] + replaced + pieces[end:after]
+    return pieces[:before] + _join_adjacent(near) + pieces[after:]
 
 
 def is_complete(key_map: KeyMap) -> bool:
-    """Tell whether each key has exactly one assignment."""
+    """Return whether each key has exactly one assignment."""
     expected = 0
     for assignment in key_map.assignments:
         if assignment.keys.first != expected:
@@ -141,8 +146,8 @@
     return assignment.keys.first
 
 
-def _joined(assignments: list[Assignment]) -> list[Assignment]:
-    """Join neighbours that one owner holds under one fence."""
+def _join_adjacent(assignments: list[Assignment]) -> list[Assignment]:
+    """Join adjacent assignments with the same owner and fence."""
     joined: list[Assignment] = []
     for assignment in assignments:
         before = joined[-1] if joined else None
--- a/plantaingrade/keyspace/codec.py
+++ b/plantaingrade/keyspace/codec.py
@@ -1,7 +1,7 @@
-"""Encode a key map as the body of a row or of a message.
+"""Encoding of a key map as the body of a store row or message.
 
-Owners are listed once and named by position, so that a map of some thousand
-ranges fits a row: about 18 bytes a range.
+Owners are listed once and referred to by position. A range then takes about 18
+bytes, and a map of some thousand ranges fits into a row.
 """
 
 import json
@@ -22,33 +22,36 @@
 FIELD_FENCE = 'fence'
 FIELD_OWNERS = 'owners'
 FIELD_RANGES = 'ranges'
-# Of one range, in the order in which they stand there.
+# Elements of one range, in order. The encoding has no names for them; they
+# appear in errors.
 NAME_FIRST = 'first'
-NAME_PLACE = 'place'
-RANGE_NAMES = (NAME_FIRST, NAME_PLACE, FIELD_FENCE)
+NAME_POSITION = 'place'
+RANGE_NAMES = (NAME_FIRST, NAME_POSITION, FIELD_FENCE)
 RANGE_LENGTH = len(RANGE_NAMES)
 
 
 class UnreadableMapError(PlantaingradeError):
-    """Report a row that holds no key map."""
+    """Report a row body that is no valid key map."""
 
-    advice = 'Another program writes to the same table, or a newer version.'
+    advice = 'Another program or a newer version writes to the same table.'
 
 
 class RangeFields(Struct, frozen=True):
-    """First key, place among the owners and fence of one range."""
+    """First key, position in the list of owners, and fence of one range."""
 
     first: int
-    place: int
+    position: int
     fence: int
 
 
 def encode_map(key_map: KeyMap) -> bytes:
-    """Return a map as JSON."""
+    """Return a map as UTF-8 JSON."""
     owners = sorted(key_map.owners())
-    place_by_owner = {owner: place for place, owner in enumerate(owners)}
+    position_by_owner = {
+        owner: position for position, owner in enumerate(owners)
+    }
     ranges = [
-        [each.keys.first, place_by_owner[each.owner], each.fence]
+        [each.keys.first, position_by_owner[each.owner], each.fence]
         for each in key_map.assignments
     ]
     fields = {
@@ -60,17 +63,17 @@
 
 
 def decode_map(body: bytes, version: int) -> KeyMap:
-    """Return the map that a row holds.
+    """Return the map in the body of a row of some version.
 
     Raises:
-        UnreadableMapError: the bytes are no map, or leave keys out.
+        UnreadableMapError: the bytes are no valid map, or lack some keys.
     """
     try:
         key_map = _from_fields(parse_object(body), version)
     except SchemaError as error:
-        raise UnreadableMapError(f'Key map not understood: {error}') from error
+        raise UnreadableMapError(f'Key map is malformed: {error}') from error
     if not is_complete(key_map):
-        raise UnreadableMapError('Key map leaves keys out.')
+        raise UnreadableMapError('Key map does not cover all keys.')
     return key_map
 
 
@@ -83,11 +86,13 @@
     ]
     firsts = [each.first for each in ranges]
     if firsts != sorted(set(firsts)):
-        raise SchemaError('Ranges are out of order.')
+        raise SchemaError('Ranges of a key map are not in ascending order.')
     ends = [first - 1 for first in firsts[1:]]
     ends.append(KEY_COUNT - 1)
     assignments = tuple(
-        Assignment(KeyRange(each.first, last), owners[each.place], each.fence)
+        Assignment(
+            KeyRange(each.first, last), owners[each.position], each.fence
+        )
         for each, last in zip(ranges, ends, strict=False)
     )
     return KeyMap(assignments, fence, version)
@@ -99,12 +104,12 @@
 
 
 def _read_range(raw: Any, owners: int, fence: int) -> RangeFields:
-    """Return one range; no fence in a map is above the map's own."""
+    """Return one range; its fence must not be above that of the map."""
     if not isinstance(raw, list) or len(raw) != RANGE_LENGTH:
-        raise SchemaError('A range is not three numbers.')
+        raise SchemaError('A range of a key map does not have three elements.')
     fields = Fields(dict(zip(RANGE_NAMES, raw, strict=True)))
     return RangeFields(
         fields.whole(NAME_FIRST, 0, KEY_COUNT - 1),
-        fields.whole(NAME_PLACE, 0, owners - 1),
+        fields.whole(NAME_POSITION, 0, owners - 1),
         fields.whole(FIELD_FENCE, 0, fence),
     )
--- a/plantaingrade/keyspace/directory.py
+++ b/plantaingrade/keyspace/directory.py
@@ -1,4 +1,4 @@
-"""Maps of all keyed services as this process knows them."""
+"""Key maps of all keyed services, as known to this process."""
 
 from collections.abc import Callable
 
@@ -11,33 +11,35 @@
 class KeyMaps:
     """Newest known map of each service.
 
-    After the store has come back from a copy its map may lack what is known
-    here. That is kept until the store's map holds it too, or later changes.
+    After the store has been restored from a backup, its map may lack changes
+    that are known here. They are kept until the map in the store contains them
+    or later changes of the same keys.
     """
 
     __slots__ = ('_listeners', '_map_by_service', '_stored_by_service')
 
     def __init__(self) -> None:
-        """Know no map."""
+        """Start with no maps."""
         self._map_by_service: dict[str, KeyMap] = {}
-        # Maps as they stand in the store, where more is known here.
+        # Maps as stored, of services for which changes are known here that
+        # the store lacks.
         self._stored_by_service: dict[str, KeyMap] = {}
         self._listeners: list[MapListener] = []
 
     def listen(self, listener: MapListener) -> None:
-        """Call back after each change."""
+        """Call the listener after each change of a map."""
         self._listeners.append(listener)
 
     def find(self, service: str) -> KeyMap:
-        """Return the map of a service, empty while none is known."""
+        """Return the map of a service; an empty one if none is known."""
         return self._map_by_service.get(service, NO_MAP)
 
     def find_stored(self, service: str) -> KeyMap:
-        """Return the map as the store's row of its version holds it."""
+        """Return the map of a service as stored under its version."""
         return self._stored_by_service.get(service) or self.find(service)
 
     def update_if_newer(self, service: str, key_map: KeyMap) -> bool:
-        """Take a map if it is newer than the one known."""
+        """Use a map if it is newer than the known one; return whether it is."""
         known = self.find(service)
         if key_map.version <= known.version:
             return False
@@ -51,13 +53,13 @@
     def apply_unconfirmed(
         self, service: str, changes: tuple[Assignment, ...], fence: int
     ) -> None:
-        """Go by changes that may have been made in an epoch that is over.
+        """Apply changes that may have been committed in an ended epoch.
 
-        Nobody else may know of them, and the store doesn't any more.
+        The store has lost them, and possibly no other member knows of them.
         """
         stored = self.find_stored(service)
-        supposed = overlay(self.find(service), changes, fence)
-        self._set_merged(service, supposed, stored)
+        changed = overlay(self.find(service), changes, fence)
+        self._set_merged(service, changed, stored)
 
     def _set_merged(self, service: str, merged: KeyMap, stored: KeyMap) -> None:
         if merged.assignments == stored.assignments:
@@ -79,10 +81,10 @@
         fence: int,
         changes: tuple[Assignment, ...],
     ) -> bool:
-        """Take a change; tell whether the map is now of its version or newer.
+        """Apply a change; return whether the map has its version or a newer.
 
-        A change of a version that is not known here cannot be applied; the
-        whole map must then be asked for.
+        A change to any other version than the known one cannot be applied. The
+        whole map must then be requested.
         """
         known = self.find(service)
         if known.version >= version:
@@ -96,7 +98,7 @@
 
 
 def differences(before: KeyMap, after: KeyMap) -> tuple[Assignment, ...]:
-    """Return the assignments of a map that an earlier one lacks."""
+    """Return the assignments of a map that differ from an earlier one."""
     return tuple(
         each
         for each in after.assignments
--- a/plantaingrade/keyspace/entity.py
+++ b/plantaingrade/keyspace/entity.py
@@ -1,4 +1,4 @@
-"""Key ranges, and the map from keys to owners."""
+"""Key ranges, and the map from key ranges to owners."""
 
 from bisect import bisect_right
 
@@ -6,7 +6,7 @@
 
 from plantaingrade.store.epochs import epoch_of
 
-# Keys are whole numbers from 0 to KEY_COUNT - 1, as the platform numbers them.
+# Keys are integers from 0 to KEY_COUNT - 1, as on the platform.
 KEY_COUNT = 65_536
 
 
@@ -17,7 +17,7 @@
     last: int
 
     def __contains__(self, key: int) -> bool:
-        """Tell whether a key lies in the range."""
+        """Return whether a key is in the range."""
         return self.first <= key <= self.last
 
     def __len__(self) -> int:
@@ -25,13 +25,13 @@
         return self.last - self.first + 1
 
     def overlap(self, other: 'KeyRange') -> 'KeyRange | None':
-        """Return the keys that both ranges hold."""
+        """Return the keys that both ranges contain, or None."""
         first = max(self.first, other.first)
         last = min(self.last, other.last)
         return KeyRange(first, last) if first <= last else None
 
     def without(self, other: 'KeyRange') -> tuple['KeyRange', ...]:
-        """Return what is left of this range when the other is taken out."""
+        """Return the parts of this range that are outside the other."""
         if self.overlap(other) is None:
             return (self,)
         rest = []
@@ -46,7 +46,7 @@
 
 
 class Assignment(Struct, frozen=True):
-    """A range, the member that owns it, and the fence of its grants."""
+    """Key range, the member that owns it, and the fence of its grants."""
 
     keys: KeyRange
     owner: str
@@ -54,10 +54,10 @@
 
 
 class KeyMap:
-    """All assignments of one service, in order, covering every key.
+    """Assignments of all keys of one service, in key order.
 
-    ``version`` is the version of the store's row that holds the map, 0 while
-    there is none; ``fence`` is above every fence ever used in it.
+    ``version`` is the version of the store row that holds the map, or 0 if
+    there is none. No fence ever used in the map is above ``fence``.
     """
 
     __slots__ = ('_firsts', 'assignments', 'fence', 'version')
@@ -68,7 +68,7 @@
         fence: int,
         version: int = 0,
     ) -> None:
-        """Index assignments that are in order and leave no gap."""
+        """Index the assignments; they must be in order and without gaps."""
         self.assignments = assignments
         self.fence = fence
         self.version = version
@@ -76,11 +76,11 @@
 
     @property
     def epoch(self) -> int:
-        """Return the epoch of the store whose row holds the map."""
+        """Return the store epoch of the row that holds the map."""
         return epoch_of(self.version)
 
     def find(self, key: int) -> Assignment | None:
-        """Return the assignment of a key."""
+        """Return the assignment of a key; None if the map is empty."""
         if not self.assignments:
             return None
         return self.assignments[bisect_right(self._firsts, key) - 1]
@@ -90,11 +90,11 @@
         return [each for each in self.assignments if each.owner == owner]
 
     def owners(self) -> set[str]:
-        """Return every member that owns keys."""
+        """Return the names of all members that own keys."""
         return {each.owner for each in self.assignments}
 
     def at_version(self, version: int) -> 'KeyMap':
-        """Return the same map as the store's row of a version."""
+        """Return a copy of the map with the version of a store row."""
         return KeyMap(self.assignments, self.fence, version)
 
 
--- a/tests/keyspace/__init__.py
+++ b/tests/keyspace/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of keyspace."""
+"""Tests of the keyspace subsystem."""
--- a/tests/keyspace/test_assign.py
+++ b/tests/keyspace/test_assign.py
@@ -1,4 +1,4 @@
-"""Changes of key maps."""
+"""Changes, encoding and merging of key maps."""
 
 from itertools import pairwise
 
@@ -63,10 +63,10 @@
 
 
 @given(changes)
-def test_what_a_change_does_not_touch_is_taken_over_as_it_is(steps) -> None:
+def test_unchanged_assignments_are_reused(steps) -> None:
     """Each of 88 members applies each change, to a map of 360 ranges.
 
-    Making all of them anew took 2.4 ms a change and member.
+    Creating all assignments anew took 2.4 ms per change and member.
     """
     key_map = reassign(
         split_evenly(OWNERS),
@@ -82,7 +82,7 @@
 
 
 @given(changes)
-def test_several_ranges_change_as_one_after_the_other_would(steps) -> None:
+def test_changes_together_equal_changes_in_sequence(steps) -> None:
     owner_by_keys = dict(steps)
     key_map = split_evenly(OWNERS)
     after = reassign(key_map, owner_by_keys)
@@ -97,7 +97,7 @@
 
 
 @given(changes)
-def test_neighbours_with_the_same_grant_are_one_range(steps) -> None:
+def test_adjacent_ranges_with_the_same_grant_are_joined(steps) -> None:
     key_map = split_evenly(OWNERS)
     for moved, owner in steps:
         key_map = reassign(key_map, {moved: owner})
@@ -106,7 +106,7 @@
 
 
 @given(changes)
-def test_a_map_survives_its_encoding(steps) -> None:
+def test_decoded_map_equals_the_encoded_one(steps) -> None:
     key_map = split_evenly(OWNERS)
     for moved, owner in steps:
         key_map = reassign(key_map, {moved: owner})
@@ -117,7 +117,7 @@
 
 
 @given(changes)
-def test_differences_bring_another_copy_up_to_date(steps) -> None:
+def test_differences_update_another_copy(steps) -> None:
     key_map = split_evenly(OWNERS).at_version(1)
     maps = KeyMaps()
     maps.update_if_newer('s', key_map)
@@ -136,10 +136,10 @@
 
 
 def test_a_change_to_an_unknown_version_is_not_applied() -> None:
-    """A datagram about a map is lost, and the next one comes.
+    """A change must not be applied after an earlier one was lost.
 
-    Applied to the map before, it would leave the lost change out, and
-    requests would go to a former owner for good.
+    The map would lack the lost change, and requests would go to a former owner
+    permanently.
     """
     maps = KeyMaps()
     first = split_evenly(OWNERS).at_version(1)
@@ -159,7 +159,7 @@
     assert maps.find('s') is newer
 
 
-def test_cut_covers_a_range_without_gaps() -> None:
+def test_split_range_covers_the_range_without_gaps() -> None:
     pieces = split_range(KeyRange(10, 20), 3)
     assert pieces[0].first == 10
     assert pieces[-1].last == 20
@@ -167,12 +167,12 @@
     assert len(split_range(KeyRange(4, 5), 9)) == 2
 
 
-def test_no_owner_makes_no_map() -> None:
+def test_map_without_owners_is_empty() -> None:
     assert split_evenly(()).assignments == ()
     assert NO_MAP.find(3) is None
 
 
-def test_unreadable_maps_are_refused() -> None:
+def test_unreadable_maps_are_rejected() -> None:
     gap = KeyMap((Assignment(KeyRange(5, KEY_COUNT - 1), 'a', 1),), 1)
     for body in (b'{', b'[]', b'{"fence":1}', encode_map(gap)):
         try:
@@ -184,7 +184,7 @@
 
 @st.composite
 def histories(draw) -> list[KeyMap]:
-    """Draw a map and those that came of it, one change each."""
+    """Draw a map and its successive versions, one change apart."""
     maps = [split_evenly(OWNERS)]
     for _ in range(draw(st.integers(1, 6))):
         first = draw(st.integers(0, KEY_COUNT - 1))
@@ -194,9 +194,7 @@
 
 
 @given(histories(), st.data())
-def test_of_two_maps_of_one_history_the_later_one_is_the_merged_one(
-    maps, data
-) -> None:
+def test_merging_two_versions_of_a_map_yields_the_later_one(maps, data) -> None:
     one = data.draw(st.sampled_from(maps))
     other = data.draw(st.sampled_from(maps))
     later = max(one, other, key=lambda key_map: key_map.fence)
@@ -204,7 +202,7 @@
     assert merge(other, one).assignments == later.assignments
 
 
-def test_what_a_copy_lacks_is_kept_until_the_store_has_it() -> None:
+def test_changes_lost_by_a_restore_are_kept_until_stored() -> None:
     maps = KeyMaps()
     first = split_evenly(OWNERS)
     lost = reassign(first, {KeyRange(0, 9): 'b'})
