--- a/tests/balance/fleet.py
+++ b/tests/balance/fleet.py
@@ -25,7 +25,7 @@
 from plantaingrade.holds.transfer import CROWDED_LIMIT_S
 from plantaingrade.holds.turns import TurnPauses
 from plantaingrade.holds.unheld import MAX_UNHELD_WAIT_S
-from plantaingrade.keyspace.assign import cut
+from plantaingrade.keyspace.assign import split_range
 from plantaingrade.keyspace.entity import (
     ALL_KEYS,
     KEY_COUNT,
@@ -242,7 +242,7 @@
         return self.stats
 
     async def _async_simulate(self, warmup_s: float, duration_s: float) -> None:
-        ranges = cut(ALL_KEYS, self._count)
+        ranges = split_range(ALL_KEYS, self._count)
         for index, keys in enumerate(ranges):
             name = f's@{index}'
             self.servers[name] = Server(name, keys, self)
--- a/tests/peers/test_messages.py
+++ b/tests/peers/test_messages.py
@@ -82,7 +82,7 @@
     message = MapChanged.from_maps('s', 's@2', before, after)
     assert len(CODEC.encode(message)) < 250
     maps = KeyMaps()
-    maps.offer('s', before)
+    maps.update_if_newer('s', before)
     assert not receive_messages(message, maps=maps)
     assert maps.find('s').assignments == after.assignments
 
@@ -99,7 +99,7 @@
     message = MapChanged.from_maps('s', 's@2', before, after)
     assert len(CODEC.encode(message)) > MAX_DATAGRAM_BYTES
     maps = KeyMaps()
-    maps.offer('s', before)
+    maps.update_if_newer('s', before)
     empty = MapChanged('s', 's@2', 1, 2, after.fence, (), ())
     assert receive_messages(empty, maps=maps) == [OTHER.address]
 
@@ -109,7 +109,7 @@
     missed = reassign(before, {KeyRange(5, 9): 's@3'}).at_version(2)
     after = reassign(missed, {KeyRange(50, 90): 's@3'}).at_version(3)
     maps = KeyMaps()
-    maps.offer('s', before)
+    maps.update_if_newer('s', before)
     message = MapChanged.from_maps('s', 's@2', missed, after)
     assert receive_messages(message, maps=maps) == [OTHER.address]
     assert maps.find('s').version == 1
@@ -131,7 +131,7 @@
         for before, after in pairwise(published_maps)
     )
     maps = KeyMaps()
-    maps.offer('s', published_maps[0])
+    maps.update_if_newer('s', published_maps[0])
     assert not receive_messages(third, second, first, maps=maps)
     assert maps.find('s').version == 4
     assert maps.find('s').assignments == published_maps[-1].assignments
@@ -144,7 +144,7 @@
     second = reassign(missed, {KeyRange(50, 90): 's@3'}).at_version(3)
     third = reassign(second, {KeyRange(95, 99): 's@3'}).at_version(4)
     maps = KeyMaps()
-    maps.offer('s', before)
+    maps.update_if_newer('s', before)
     requested = receive_messages(
         MapChanged.from_maps('s', 's@2', missed, second),
         MapChanged.from_maps('s', 's@2', second, third),
