--- a/lab/keys.py
+++ b/lab/keys.py
@@ -9,8 +9,8 @@
 
 from msgspec import Struct
 
-from plantaingrade.holds.turns import TurnPauses
-from plantaingrade.holds.transfer import CROWDED_LIMIT_S
+from plantaingrade.holds.backoff import ConflictBackoff
+from plantaingrade.holds.transfer import CONTENDED_LIMIT_S
 from plantaingrade.holds.unheld import UnheldRanges
 from plantaingrade.keyspace.assign import reassign, split_evenly
 from plantaingrade.keyspace.directory import KeyMaps
@@ -69,10 +69,10 @@
         self._shared = shared
         self.member = member
         self.is_joined = True
-        self.takes_keys = True
+        self.accepts_keys = True
         self.is_waiting = False
         self.lease_until = float('inf')
-        self.turns = TurnPauses(random.Random(member.name))
+        self.backoff = ConflictBackoff(random.Random(member.name))
 
     @property
     def key_map(self):
@@ -131,14 +131,14 @@
         """Look again soon."""
         await asyncio.sleep(min(limit_s, 2 * GRANT_S))
 
-    async def async_is_store_there(self) -> bool:
+    async def async_is_store_available(self) -> bool:
         """Tell that the store is there."""
         return True
 
     def on_hint(self, version: int) -> None:
         """Know the newest map already."""
 
-    async def async_give(self, keys: list[KeyRange], target: str) -> bool:
+    async def async_transfer(self, keys: list[KeyRange], target: str) -> bool:
         """Release, change the map, and have the target hold the keys."""
         if any(each.overlap(one) for each in keys for one in self._moving):
             return False
@@ -181,13 +181,13 @@
 
     async def _async_change(self, owner_by_keys: dict[KeyRange, str]) -> bool:
         loop = asyncio.get_running_loop()
-        ends = loop.time() + CROWDED_LIMIT_S
-        turns = self.registry.turns
+        ends = loop.time() + CONTENDED_LIMIT_S
+        backoff = self.registry.backoff
         while loop.time() <= ends:
             sent_at = loop.time()
             if await self._shared.async_change(owner_by_keys):
-                turns.on_done()
+                backoff.on_success()
                 return True
-            pause_s = turns.on_late(loop.time() - sent_at)
+            pause_s = backoff.on_conflict(loop.time() - sent_at)
             await asyncio.sleep(max(0.0, min(pause_s, ends - loop.time())))
         return False
--- a/plantaingrade/balance/coordinator.py
+++ b/plantaingrade/balance/coordinator.py
@@ -118,7 +118,7 @@
         if self.is_leaving:
             return
         self.is_leaving = True
-        self._holds.registry.takes_keys = False
+        self._holds.registry.accepts_keys = False
         self._teller.tell_load(self.load(), self._others.names())
 
     def stay(self) -> None:
@@ -129,7 +129,7 @@
         if self.is_drained:
             return
         self.is_leaving = False
-        self._holds.registry.takes_keys = True
+        self._holds.registry.accepts_keys = True
 
     async def async_run(self) -> None:
         """Look at the loads until cancelled."""
@@ -150,7 +150,7 @@
         them before it is back.
         """
         ranges = self._own_ranges()
-        if not ranges or not await self._holds.async_is_store_there():
+        if not ranges or not await self._holds.async_is_store_available():
             return
         now = self._clock.now()
         load_by_member = self._others.takers(now)
@@ -165,7 +165,7 @@
         )
         await asyncio.gather(
             *(
-                self._holds.async_give(keys, target)
+                self._holds.async_transfer(keys, target)
                 for target, keys in keys_by_target.items()
             )
         )
@@ -192,7 +192,7 @@
             *(self._async_move(own, move) for move in moves)
         )
         # Keys are served while it rests, but not while a change waits.
-        rest_s = self._holds.registry.turns.rest_s()
+        rest_s = self._holds.registry.backoff.deferral_s()
         pause_s = self._pauses.on_moves(passed.count(True), passed.count(False))
         self._rests_until = self._clock.now() + max(rest_s, pause_s)
 
@@ -224,7 +224,7 @@
         )
         if not reply.is_accepted:
             return None
-        is_done = await self._holds.async_give([move.keys], move.target)
+        is_done = await self._holds.async_transfer([move.keys], move.target)
         if is_done:
             self._meter.forget(move.keys)
         return is_done
--- a/plantaingrade/holds/turns.py
+++ b/plantaingrade/holds/backoff.py
@@ -21,7 +21,7 @@
 REST_WINDOWS = 2
 
 
-class TurnPauses:
+class ConflictBackoff:
     """Pauses that grow while changes come too late, and shrink again.
 
     The window is kept from one change to the next: what crowds the part does
@@ -35,13 +35,13 @@
         self._chance = chance
         self._window_s = 0.0
 
-    def on_done(self) -> None:
+    def on_success(self) -> None:
         """Note that a change was done."""
         self._window_s /= 2
         if self._window_s < FIRST_WINDOW_S:
             self._window_s = 0.0
 
-    def on_late(self, took_s: float) -> float:
+    def on_conflict(self, took_s: float) -> float:
         """Note that a change came too late; return the pause before the next.
 
         ``took_s`` is how long its answer took. A pause is drawn from a window,
@@ -53,6 +53,6 @@
         self._window_s = min(MAX_WINDOW_S, window_s)
         return self._chance.uniform(0, self._window_s)
 
-    def rest_s(self) -> float:
+    def deferral_s(self) -> float:
         """Return a pause before changes that could as well be made later."""
         return self._chance.uniform(0, REST_WINDOWS * self._window_s)
--- a/plantaingrade/holds/coordinator.py
+++ b/plantaingrade/holds/coordinator.py
@@ -120,7 +120,7 @@
         if service != self._member.service:
             return
         key_map = self.registry.key_map
-        if key_map.epoch > self.registry.epochs.present:
+        if key_map.epoch > self.registry.epochs.current:
             # Another process has heard of an epoch that this one has not.
             self._hinted.set()
         owned = key_map.owned_by(self._member.name)
@@ -135,9 +135,9 @@
             self._hinted_version = max(self._hinted_version, version)
             self._hinted.set()
 
-    def on_new_life(self) -> None:
+    def on_new_incarnation(self) -> None:
         """Grant to a new life of the server."""
-        self.granter.on_new_life()
+        self.granter.on_new_incarnation()
         self._wake.set()
 
     def expect_handover(self, token: Token) -> None:
@@ -202,11 +202,11 @@
             self._transfers.stop()
             await self.granter.async_stop()
 
-    async def async_give(self, keys: list[KeyRange], target: str) -> bool:
+    async def async_transfer(self, keys: list[KeyRange], target: str) -> bool:
         """Pass ranges to another member; tell whether they have passed."""
-        return await self._transfers.async_give(keys, target)
+        return await self._transfers.async_transfer(keys, target)
 
-    async def async_is_store_there(self) -> bool:
+    async def async_is_store_available(self) -> bool:
         """Tell whether a change of the map would be answered now.
 
         Nothing is asked if an answer came just now.
@@ -230,10 +230,10 @@
         self, plan: Planner, limit_s: float
     ) -> CommitResult:
         """Commit the change by which this member joins."""
-        is_carrying = self.registry.is_carrying
+        is_migrating = self.registry.is_migrating
         return await self._async_tell(
             self.registry.async_commit(
-                plan, limit_s, joins=not is_carrying, carries=is_carrying
+                plan, limit_s, joins=not is_migrating, carries=is_migrating
             )
         )
 
@@ -264,7 +264,7 @@
         registry.follow_epoch()
         if not self._life.takes_work and not registry.is_joined:
             return RETRY_S
-        if not registry.is_joined or registry.is_carrying:
+        if not registry.is_joined or registry.is_migrating:
             return await self._async_enter()
         committed = await registry.async_commit(_plan_renewal, RENEW_LIMIT_S)
         self._takeovers.note_store(is_ok=committed is not CommitResult.FAILED)
@@ -278,7 +278,7 @@
         self._takeovers.note_store(is_ok=is_read)
         if not is_read:
             return RETRY_S
-        if self.registry.is_carrying:
+        if self.registry.is_migrating:
             return await self._joining.async_carry_over()
         return await self._joining.async_join()
 
@@ -335,7 +335,7 @@
             self._hinted.clear()
             known = self.registry.key_map
             is_behind = self._hinted_version > known.version
-            if is_behind or known.epoch > self.registry.epochs.present:
+            if is_behind or known.epoch > self.registry.epochs.current:
                 await self.registry.async_read()
                 await asyncio.sleep(RETRY_S)
 
--- a/plantaingrade/holds/doubts.py
+++ b/plantaingrade/holds/doubts.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from plantaingrade.eventlog import EventLog
-from plantaingrade.holds.entity import GiveUpAsked
+from plantaingrade.holds.entity import ExpiryRequest
 from plantaingrade.holds.lease import MemberRow
 from plantaingrade.holds.plans import doubtful_rows
 from plantaingrade.holds.promises import is_majority
@@ -48,7 +48,7 @@
     async def _async_is_given_up(self, row: MemberRow) -> bool:
         member = row.member
         question_by_witness = {
-            witness: GiveUpAsked(
+            witness: ExpiryRequest(
                 member.name, member.boot, row.write_number, witness.boot
             )
             for witness in row.witnesses
--- a/plantaingrade/holds/entity.py
+++ b/plantaingrade/holds/entity.py
@@ -63,7 +63,7 @@
     boot: str
 
 
-class PromiseAsked(Message):
+class PromiseRequest(Message, tag='PromiseAsked'):
     """A member asks a witness not to give it up.
 
     The promise is for its writes from ``first``, the last that it knows to
@@ -77,7 +77,7 @@
     witness_boot: str
 
 
-class GiveUpAsked(Message):
+class ExpiryRequest(Message, tag='GiveUpAsked'):
     """A member asks a witness to give another up.
 
     ``number`` is that of the write that stands in the other's row.
@@ -89,4 +89,4 @@
     witness_boot: str
 
 
-Question = PromiseAsked | GiveUpAsked
+WitnessRequest = PromiseRequest | ExpiryRequest
--- a/plantaingrade/holds/epochs.py
+++ b/plantaingrade/holds/epochs.py
@@ -23,7 +23,7 @@
         '_started_at',
         '_starts_with_all',
         '_store',
-        'present',
+        'current',
     )
 
     def __init__(
@@ -46,12 +46,12 @@
         # The epoch in which this run joined; it may have carried its lease on.
         self._joined = 0
         self._longest_lease_s = 0.0
-        self.present = 0
+        self.current = 0
 
     @property
     def is_behind(self) -> bool:
         """Tell whether the store is in a newer epoch."""
-        return self.present != self._store.newest
+        return self.current != self._store.newest
 
     @property
     def lowest_fence(self) -> int:
@@ -64,17 +64,17 @@
     @property
     def is_base(self) -> bool:
         """Tell whether nobody held keys before this epoch, for certain."""
-        return self.present <= self._base
+        return self.current <= self._base
 
     def advance(self, lease_s: float) -> None:
         """Go by the newest epoch; leases were up to so long before."""
         self._longest_lease_s = max(self._longest_lease_s, lease_s)
-        self.present = self._store.newest
+        self.current = self._store.newest
         self._rows.forget()
 
     def on_joined(self) -> None:
         """Note that this run has joined without an earlier lease."""
-        self._joined = self.present
+        self._joined = self.current
 
     def are_earlier_leases_over(self) -> bool:
         """Tell whether no lease of an earlier epoch can still run."""
--- a/plantaingrade/holds/granter.py
+++ b/plantaingrade/holds/granter.py
@@ -135,10 +135,10 @@
         """Use a token with the first grant of its range."""
         self._token_by_keys[token.keys] = token.token
 
-    def on_new_life(self) -> None:
+    def on_new_incarnation(self) -> None:
         """Forget the tokens of an earlier life; try to reach the new one."""
         self._token_by_keys.clear()
-        self.opener.on_new_life()
+        self.opener.on_new_incarnation()
 
     def find_doubt(self) -> FenceDoubt:
         """Tell why new fences are needed before all keys can be granted."""
--- a/plantaingrade/holds/joining.py
+++ b/plantaingrade/holds/joining.py
@@ -47,7 +47,7 @@
         registry = self._registry
         registry.is_waiting = not await self._async_may_join()
         if registry.is_waiting:
-            self._log.write('join-waits', epoch=registry.epochs.present)
+            self._log.write('join-waits', epoch=registry.epochs.current)
             return self._pause_s()
         committed = await self._commit(plan_outrank, JOIN_LIMIT_S)
         if committed is CommitResult.NOT_WANTED:
@@ -68,7 +68,7 @@
         self._log.write(
             'lease-carried-over',
             outcome=committed,
-            epoch=registry.epochs.present,
+            epoch=registry.epochs.current,
             left_s=round(left_s, 2),
             keys_of=len(registry.key_map.owned_by(registry.member.name)),
             map_version=registry.key_map.version,
--- a/plantaingrade/holds/lease.py
+++ b/plantaingrade/holds/lease.py
@@ -38,7 +38,7 @@
     member: Member
     until_s: float
     write_id: str
-    takes_keys: bool = True
+    accepts_keys: bool = True
     version: int = 0
     base_until_s: float = 0.0
     witnesses: tuple[Witness, ...] = ()
@@ -58,12 +58,12 @@
         """
         if self.until_s <= latest_end_s:
             return self
-        return replace(self, takes_keys=False)
+        return replace(self, accepts_keys=False)
 
 
 def unreadable_row(member: Member, version: int, until_s: float) -> MemberRow:
     """Return what stands for a row that is there and cannot be read."""
-    return MemberRow(member, until_s, '', takes_keys=False, version=version)
+    return MemberRow(member, until_s, '', accepts_keys=False, version=version)
 
 
 def encode_member_row(row: MemberRow) -> bytes:
@@ -76,7 +76,7 @@
         'boot': member.boot,
         'until': round(row.until_s, 3),
         'write': row.write_id,
-        'takes': row.takes_keys,
+        'takes': row.accepts_keys,
     }
     if row.witnesses:
         fields['base_until'] = round(row.base_until_s, 3)
--- a/plantaingrade/holds/opening.py
+++ b/plantaingrade/holds/opening.py
@@ -61,7 +61,7 @@
         """Note that the server has answered an order."""
         self._pause_s = MIN_OPEN_PAUSE_S
 
-    def on_new_life(self) -> None:
+    def on_new_incarnation(self) -> None:
         """Try at once: a life of the server has told of itself."""
         self._next_at = 0.0
         self._pause_s = MIN_OPEN_PAUSE_S
--- a/plantaingrade/holds/own_rows.py
+++ b/plantaingrade/holds/own_rows.py
@@ -30,7 +30,7 @@
         now_s: float,
         times: LeaseTimes,
         *,
-        takes_keys: bool,
+        accepts_keys: bool,
         has_open: bool,
     ) -> MemberRow:
         """Return the next row, made at a time of the store's clock.
@@ -45,7 +45,7 @@
             self._member,
             now_s + times.full_s,
             f'{self._member.boot}.{next(self._numbers)}',
-            takes_keys,
+            accepts_keys,
             base_until_s=now_s + base_s,
             witnesses=self._named,
         )
--- a/plantaingrade/holds/passing.py
+++ b/plantaingrade/holds/passing.py
@@ -35,7 +35,7 @@
     if not owner_by_keys:
         return None
     return Change(
-        reassign(registry.key_map, owner_by_keys, registry.epochs.present)
+        reassign(registry.key_map, owner_by_keys, registry.epochs.current)
     )
 
 
--- a/plantaingrade/holds/plans.py
+++ b/plantaingrade/holds/plans.py
@@ -32,7 +32,7 @@
         return None
     owner_by_keys = dict.fromkeys(parts, _own(registry))
     return Change(
-        reassign(registry.key_map, owner_by_keys, registry.epochs.present)
+        reassign(registry.key_map, owner_by_keys, registry.epochs.current)
     )
 
 
@@ -43,7 +43,7 @@
 def plan_carry_over(registry: Registry) -> Change:
     """Join a new epoch of the store with a lease of an earlier one."""
     stored = registry.stored_map
-    change = plan_carry(registry.key_map, stored, registry.epochs.present)
+    change = plan_carry(registry.key_map, stored, registry.epochs.current)
     start = registry.epochs.missing_start()
     return replace(change, epoch_start=start)
 
@@ -56,7 +56,7 @@
     ):
         return None
     live = live_members(registry)
-    return Change(split_evenly(live, registry.epochs.present)) if live else None
+    return Change(split_evenly(live, registry.epochs.current)) if live else None
 
 
 def plan_takeover(
@@ -84,7 +84,7 @@
     owner_by_keys = spread(registry.key_map, lost, live)
     if not owner_by_keys:
         return Change(removed=removed) if removed else None
-    key_map = reassign(registry.key_map, owner_by_keys, registry.epochs.present)
+    key_map = reassign(registry.key_map, owner_by_keys, registry.epochs.current)
     return Change(key_map, removed, tuple(absent))
 
 
@@ -108,9 +108,9 @@
     names = {
         name
         for name, row in registry.rows.by_name.items()
-        if row.until_s > now_s and row.takes_keys and name != own
+        if row.until_s > now_s and row.accepts_keys and name != own
     }
-    if registry.takes_keys:
+    if registry.accepts_keys:
         names.add(own)
     return sorted(names)
 
--- a/plantaingrade/holds/promises.py
+++ b/plantaingrade/holds/promises.py
@@ -14,7 +14,7 @@
 
 from msgspec import Struct, field
 
-from plantaingrade.holds.entity import GiveUpAsked, PromiseAsked, Witness
+from plantaingrade.holds.entity import ExpiryRequest, PromiseRequest, Witness
 
 # No promise is of use for longer than a lease, which is counted by several
 # clocks; what was said is kept for much longer than that.
@@ -38,7 +38,7 @@
     seen_at: float = 0.0
 
 
-class WitnessBook(Struct):
+class WitnessState(Struct):
     """What one run of a process has promised, and whom it has given up.
 
     It is lost with the process: the next run has another ``boot`` and neither
@@ -48,7 +48,7 @@
     boot: str
     _said_by_run: dict[tuple[str, str], Said] = field(default_factory=dict)
 
-    def on_promise(self, asked: PromiseAsked, now: float) -> bool:
+    def on_promise_request(self, asked: PromiseRequest, now: float) -> bool:
         """Promise to keep a member's writes, unless one was given up.
 
         A write before ``first`` may have been given up: it no longer stands.
@@ -59,7 +59,7 @@
         said.promised_to = max(said.promised_to, asked.last)
         return True
 
-    def on_give_up(self, asked: GiveUpAsked, now: float) -> bool:
+    def on_expiry_request(self, asked: ExpiryRequest, now: float) -> bool:
         """Give a member up whose row holds a write, unless it was promised."""
         said = self._find(asked.name, asked.boot, asked.witness_boot, now)
         if said is None or said.promised_to >= asked.number:
--- a/plantaingrade/holds/registry.py
+++ b/plantaingrade/holds/registry.py
@@ -16,6 +16,7 @@
 from plantaingrade.clock import Clock
 from plantaingrade.eventlog import EventLog
 from plantaingrade.holds.answers import StoreAnswers
+from plantaingrade.holds.backoff import ConflictBackoff
 from plantaingrade.holds.carrying import given_away
 from plantaingrade.holds.changes import (
     RENEWAL,
@@ -50,7 +51,6 @@
     make_start,
     make_transaction,
 )
-from plantaingrade.holds.turns import TurnPauses
 from plantaingrade.holds.witnesses import Witnesses
 from plantaingrade.keyspace.directory import KeyMaps
 from plantaingrade.keyspace.entity import NO_MAP, KeyMap
@@ -98,15 +98,15 @@
         'answers',
         'changed_from',
         'epochs',
-        'is_carrying',
+        'is_migrating',
         'is_joined',
         'is_waiting',
         'member',
         'own',
         'rows',
-        'takes_keys',
+        'accepts_keys',
         'term',
-        'turns',
+        'backoff',
     )
 
     def __init__(
@@ -126,13 +126,13 @@
         for the first time.
         """
         # Whether the lease is one of an earlier epoch than the rows.
-        self.is_carrying = False
+        self.is_migrating = False
         self.term = LeaseTerm(store.clock)
         self._store = store
         self._maps = maps
         self._clock = clock
         self._log = log
-        self.turns = TurnPauses(random.Random(member.boot))
+        self.backoff = ConflictBackoff(random.Random(member.boot))
         self.rows = MemberRows(member, maps, log)
         self.epochs = MemberEpochs(
             store.epochs,
@@ -146,7 +146,7 @@
         # The map that the last change done here was made from.
         self.changed_from = NO_MAP
         self.answers = StoreAnswers()
-        self.takes_keys = True
+        self.accepts_keys = True
         self.own: MemberRow | None = None
         self.is_joined = False
         # Whether leases of an earlier epoch keep this run from joining.
@@ -184,17 +184,17 @@
         """
         if not self.epochs.is_behind:
             return
-        before = self.epochs.present
+        before = self.epochs.current
         self.epochs.advance(self.lease_times().full_s)
-        self.is_carrying = self.is_joined
+        self.is_migrating = self.is_joined
         self.own = None
         # Nothing can be changed before the lease has been carried over.
         self.answers.on_change(self._clock.now(), is_answered=False)
         self._log.write(
             'epoch-followed',
-            epoch=self.epochs.present,
+            epoch=self.epochs.current,
             before=before,
-            carries=self.is_carrying,
+            carries=self.is_migrating,
             map_version=self.key_map.version,
             fence=self.key_map.fence,
         )
@@ -253,7 +253,7 @@
             if not joins and not self.is_joined:
                 return CommitResult.LOST
             self.follow_epoch()
-            if self.is_carrying != carries:
+            if self.is_migrating != carries:
                 return CommitResult.FAILED
             if (joins or carries) and not self.rows.are_read:
                 return CommitResult.FAILED
@@ -262,7 +262,7 @@
             now = self._clock.now()
             crowded_s = limit_s if crowded_limit_s is None else crowded_limit_s
             attempt = Attempt(
-                self.epochs.present, now + limit_s, now + crowded_s
+                self.epochs.current, now + limit_s, now + crowded_s
             )
             return await self._commit(plan, attempt)
 
@@ -277,7 +277,7 @@
             self.own = None
             await self._store.async_commit(
                 Transaction(
-                    expected, deletes=(name,), epoch=self.epochs.present
+                    expected, deletes=(name,), epoch=self.epochs.current
                 )
             )
 
@@ -287,7 +287,7 @@
             now = self._clock.now()
             if self._store.epochs.newest != attempt.epoch:
                 return self._end_epoch(attempt.sent_by_id)
-            if self.is_carrying and not self.has_lease(now):
+            if self.is_migrating and not self.has_lease(now):
                 return self._lose('lease over in an earlier epoch')
             is_late = now > attempt.ends
             change = None if is_late else plan(self)
@@ -301,7 +301,7 @@
         row = self._own_rows.make(
             self.store_now() or 0.0,
             self.lease_times(),
-            takes_keys=self.takes_keys,
+            accepts_keys=self.accepts_keys,
             has_open=self.term.has_open,
         )
         return SentWrite(
@@ -314,7 +314,7 @@
         """Send one transaction; return nothing if another must be sent."""
         sent_at = self._clock.now()
         self.term.on_sent(write.row)
-        is_map_there = self.key_map.epoch == self.epochs.present
+        is_map_there = self.key_map.epoch == self.epochs.current
         transaction = make_transaction(
             self._names(),
             write,
@@ -346,7 +346,7 @@
         if write.change.key_map is None:
             return
         now = self._clock.now()
-        pause_s = self.turns.on_late(now - sent_at)
+        pause_s = self.backoff.on_conflict(now - sent_at)
         await asyncio.sleep(max(0.0, min(pause_s, attempt.ends - now)))
 
     def _take_outcome(
@@ -391,7 +391,7 @@
         return CommitResult.FAILED
 
     def _names(self) -> RowNames:
-        return RowNames(self.member.service, self.epochs.present)
+        return RowNames(self.member.service, self.epochs.current)
 
     async def _async_earlier_lease_s(self) -> float:
         """Return how long leases of the epoch before were at most.
@@ -400,7 +400,7 @@
         """
         if self.epochs.is_base:
             return 0.0
-        earlier = RowNames(self.member.service, self.epochs.present - 1)
+        earlier = RowNames(self.member.service, self.epochs.current - 1)
         outcome = await self._store.async_read(TABLE, earlier.part)
         rows = outcome.rows if isinstance(outcome, RangeRead) else ()
         members = sum(row.name.key.startswith(KEY_MEMBER) for row in rows)
@@ -431,11 +431,11 @@
         if not self.is_joined:
             self.epochs.on_joined()
         self.is_joined = True
-        self.is_carrying = False
+        self.is_migrating = False
         for lapsed in change.removed:
             self.rows.by_name.pop(lapsed.member.name, None)
         if change.key_map is not None:
-            self.turns.on_done()
+            self.backoff.on_success()
             self.changed_from = write.base
             key_map = change.key_map.at_version(version)
             self._maps.offer(self.member.service, key_map)
@@ -498,6 +498,6 @@
         self._log.write('lease-lost', why=why, until=self.lease_until)
         self.own = None
         self.is_joined = False
-        self.is_carrying = False
+        self.is_migrating = False
         self.term.on_lost()
         return CommitResult.LOST
--- a/plantaingrade/holds/term.py
+++ b/plantaingrade/holds/term.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from plantaingrade.holds.entity import PromiseAsked, Witness
+from plantaingrade.holds.entity import PromiseRequest, Witness
 from plantaingrade.holds.lease import MemberRow
 from plantaingrade.store.clock import StoreClock
 
@@ -90,10 +90,10 @@
         sets = {each.row.witnesses for each in sent}
         return [] if () in sets else sorted(sets)
 
-    def question(self, witness: Witness) -> PromiseAsked:
+    def question(self, witness: Witness) -> PromiseRequest:
         """Return what is to be asked of a witness now."""
         row = self._standing.row
-        return PromiseAsked(
+        return PromiseRequest(
             row.member.name,
             row.member.boot,
             row.write_number,
--- a/plantaingrade/holds/transfer.py
+++ b/plantaingrade/holds/transfer.py
@@ -19,7 +19,7 @@
 MOVE_LIMIT_S = 2.0
 # The same while the changes of others are all that is in the way, and the keys
 # could as well stay: requests wait for keys on the move no longer than this.
-CROWDED_LIMIT_S = 0.4
+CONTENDED_LIMIT_S = 0.4
 
 
 class Ready(Struct, eq=False):
@@ -74,7 +74,7 @@
         self._committing = asyncio.Lock()
         self._ready: list[Ready] = []
 
-    async def async_give(self, keys: list[KeyRange], target: str) -> bool:
+    async def async_transfer(self, keys: list[KeyRange], target: str) -> bool:
         """Pass ranges to another member; tell whether they have passed.
 
         A move that has begun goes on without whoever asked for it: its change
@@ -176,8 +176,8 @@
             self._spread(before, after, passages)
 
     def _crowded_limit_s(self) -> float:
-        is_leaving = not self._registry.takes_keys
-        return MOVE_LIMIT_S if is_leaving else CROWDED_LIMIT_S
+        is_leaving = not self._registry.accepts_keys
+        return MOVE_LIMIT_S if is_leaving else CONTENDED_LIMIT_S
 
     def _outcome(
         self, passage: Passage, committed: CommitResult
--- a/plantaingrade/holds/witnesses.py
+++ b/plantaingrade/holds/witnesses.py
@@ -4,7 +4,7 @@
 from collections.abc import Mapping
 from typing import Protocol
 
-from plantaingrade.holds.entity import Question, Witness
+from plantaingrade.holds.entity import Witness, WitnessRequest
 
 
 class Witnesses(Protocol):
@@ -13,12 +13,14 @@
     def choose(self) -> tuple[Witness, ...]:
         """Return those that a lease should name, none if nobody is known."""
 
-    async def async_ask(self, witness: Witness, question: Question) -> bool:
+    async def async_ask(
+        self, witness: Witness, question: WitnessRequest
+    ) -> bool:
         """Ask one; tell whether it agreed, also if it did not answer."""
 
 
 async def async_agreed(
-    witnesses: Witnesses, question_by_witness: Mapping[Witness, Question]
+    witnesses: Witnesses, question_by_witness: Mapping[Witness, WitnessRequest]
 ) -> list[Witness]:
     """Ask several at once; return those that agreed."""
     answers = await asyncio.gather(
--- a/plantaingrade/operators/desk.py
+++ b/plantaingrade/operators/desk.py
@@ -183,7 +183,7 @@
         member = self._directory.find(target)
         if member is None or member.service != self._own.service:
             return _error(STATUS_BAD_REQUEST, 'no member of this service')
-        given = await self._holds.async_give([keys], target)
+        given = await self._holds.async_transfer([keys], target)
         return _json(STATUS_OK, {'given': given})
 
     async def async_read_wish(self) -> Answer:
@@ -355,7 +355,7 @@
         self, owner: str, keys: KeyRange, target: Member
     ) -> bool:
         if owner == self._own.name:
-            return await self._holds.async_give([keys], target.name)
+            return await self._holds.async_transfer([keys], target.name)
         member = self._directory.find(owner)
         if member is None:
             return False
--- a/plantaingrade/peers/witnesses.py
+++ b/plantaingrade/peers/witnesses.py
@@ -6,17 +6,17 @@
 from plantaingrade.codec import Codec
 from plantaingrade.holds.const import WITNESS_COUNT
 from plantaingrade.holds.entity import (
-    GiveUpAsked,
-    PromiseAsked,
-    Question,
+    ExpiryRequest,
+    PromiseRequest,
     Witness,
+    WitnessRequest,
 )
-from plantaingrade.holds.promises import WitnessBook
+from plantaingrade.holds.promises import WitnessState
 from plantaingrade.peers.calls import PeerCalls
 from plantaingrade.peers.directory import Directory
 from plantaingrade.peers.entity import Member
 
-QUESTION_CODEC = Codec(Question)
+QUESTION_CODEC = Codec(WitnessRequest)
 PATH_WITNESS = '/-/witness'
 AGREED = b'yes'
 REFUSED = b'no'
@@ -39,7 +39,7 @@
         self._directory = directory
         self._calls = calls
         self._clock = clock
-        self._book = WitnessBook(own.boot)
+        self._book = WitnessState(own.boot)
         self._chance = random.Random(own.boot)
 
     def choose(self) -> tuple[Witness, ...]:
@@ -58,7 +58,9 @@
             for member in members[:WITNESS_COUNT]
         )
 
-    async def async_ask(self, witness: Witness, question: Question) -> bool:
+    async def async_ask(
+        self, witness: Witness, question: WitnessRequest
+    ) -> bool:
         """Ask one; tell whether it agreed, also if it did not answer."""
         if witness.name == self._own.name:
             return self._decide(question)
@@ -79,10 +81,10 @@
         is_agreed = self._decide(QUESTION_CODEC.decode(body))
         return AGREED if is_agreed else REFUSED
 
-    def _decide(self, question: Question) -> bool:
+    def _decide(self, question: WitnessRequest) -> bool:
         now = self._clock.now()
         match question:
-            case PromiseAsked():
-                return self._book.on_promise(question, now)
-            case GiveUpAsked():
-                return self._book.on_give_up(question, now)
+            case PromiseRequest():
+                return self._book.on_promise_request(question, now)
+            case ExpiryRequest():
+                return self._book.on_expiry_request(question, now)
--- a/plantaingrade/sidecar/process.py
+++ b/plantaingrade/sidecar/process.py
@@ -456,7 +456,7 @@
         A process that is about to end takes no keys for it.
         """
         self._server_path.on_new_life()
-        self.holds.on_new_life()
+        self.holds.on_new_incarnation()
         if not self._is_leaving:
             self._balance.stay()
 
--- a/tests/balance/fleet.py
+++ b/tests/balance/fleet.py
@@ -22,8 +22,8 @@
 from plantaingrade.balance.entity import Load
 from plantaingrade.balance.others import TELL_COUNT
 from plantaingrade.eventlog import EventLog
-from plantaingrade.holds.transfer import CROWDED_LIMIT_S
-from plantaingrade.holds.turns import TurnPauses
+from plantaingrade.holds.backoff import ConflictBackoff
+from plantaingrade.holds.transfer import CONTENDED_LIMIT_S
 from plantaingrade.holds.unheld import MAX_UNHELD_WAIT_S
 from plantaingrade.keyspace.assign import cut
 from plantaingrade.keyspace.entity import (
@@ -93,13 +93,13 @@
         self.moving_since: dict[KeyRange, float] = {}
         self.writing = asyncio.Lock()
         self.ready: list[asyncio.Future[bool]] = []
-        self.turns = TurnPauses(random.Random(name))
+        self.backoff = ConflictBackoff(random.Random(name))
         self.registry = SimpleNamespace(
             is_joined=True,
-            takes_keys=True,
+            accepts_keys=True,
             is_waiting=False,
             key_map=self,
-            turns=self.turns,
+            backoff=self.backoff,
         )
         self.book = LoadBook()
         clock = LoopClock()
@@ -148,7 +148,7 @@
         servers = self.fleet.servers
         return servers[target].balance.on_offer(offer)
 
-    async def async_give(self, keys: list[KeyRange], target: str) -> bool:
+    async def async_transfer(self, keys: list[KeyRange], target: str) -> bool:
         """Release, change the map, hand over: as the transfers do."""
         now = asyncio.get_running_loop().time()
         for each in keys:
@@ -177,15 +177,15 @@
 
     async def _async_change(self) -> bool:
         loop = asyncio.get_running_loop()
-        ends = loop.time() + CROWDED_LIMIT_S
+        ends = loop.time() + CONTENDED_LIMIT_S
         while loop.time() <= ends:
             row = self.fleet.row
             sent_at = loop.time()
             if await row.async_change(row.version):
-                self.turns.on_done()
+                self.backoff.on_success()
                 return True
             now = loop.time()
-            pause_s = self.turns.on_late(now - sent_at)
+            pause_s = self.backoff.on_conflict(now - sent_at)
             await asyncio.sleep(max(0.0, min(pause_s, ends - now)))
         return False
 
--- a/tests/balance/test_coordinator.py
+++ b/tests/balance/test_coordinator.py
@@ -16,7 +16,7 @@
 from plantaingrade.balance.entity import Load
 from plantaingrade.balance.others import LEAVING_SHARE
 from plantaingrade.eventlog import EventLog
-from plantaingrade.holds.turns import TurnPauses
+from plantaingrade.holds.backoff import ConflictBackoff
 from plantaingrade.keyspace.entity import Assignment, KeyRange
 from plantaingrade.peers.entity import Member, Offer, OfferReply
 from tests.virtual import LoopClock, run
@@ -39,19 +39,19 @@
         self.given_at: list[float] = []
         self.registry = SimpleNamespace(
             is_joined=True,
-            takes_keys=True,
+            accepts_keys=True,
             is_waiting=False,
             key_map=self,
-            turns=TurnPauses(random.Random(1)),
+            backoff=ConflictBackoff(random.Random(1)),
         )
 
     def owned_by(self, name: str) -> list[Assignment]:
         return [Assignment(keys, name, 1) for keys in self.ranges]
 
-    async def async_is_store_there(self) -> bool:
+    async def async_is_store_available(self) -> bool:
         return True
 
-    async def async_give(self, keys: list[KeyRange], _: str) -> bool:
+    async def async_transfer(self, keys: list[KeyRange], _: str) -> bool:
         self.given_at.append(asyncio.get_running_loop().time())
         for given in keys:
             self.ranges = [
@@ -105,12 +105,12 @@
 def play(
     seconds_idle: float,
     seconds_hot: float,
-    turns: TurnPauses | None = None,
+    turns: ConflictBackoff | None = None,
     calm_share: float = 0.0,
 ) -> list[float]:
     """Return when ranges were given away, counted from the hot spot's start."""
     holds = FakeHolds()
-    holds.registry.turns = turns or holds.registry.turns
+    holds.registry.backoff = turns or holds.registry.backoff
 
     async def story() -> float:
         clock = LoopClock()
@@ -163,9 +163,9 @@
     Until one is done the member rests after each round, but a look at which
     nothing is moved is no round: what comes after it is moved at once.
     """
-    turns = TurnPauses(random.Random(1))
+    turns = ConflictBackoff(random.Random(1))
     for _ in range(10):
-        turns.on_late(1.0)
+        turns.on_conflict(1.0)
     given_at = play(5.0, 1.0, turns, calm_share=0.5)
     assert given_at[0] <= LOOK_S + 0.1
 
--- a/tests/holds/fakes.py
+++ b/tests/holds/fakes.py
@@ -18,19 +18,19 @@
 from plantaingrade.holds.coordinator import HoldCoordinator, MemberLinks
 from plantaingrade.holds.entity import (
     Accepted,
-    GiveUpAsked,
+    ExpiryRequest,
     Grant,
     OrderOutcome,
     Outranked,
-    PromiseAsked,
-    Question,
+    PromiseRequest,
     Release,
     Unanswered,
     Unsent,
     Witness,
+    WitnessRequest,
 )
 from plantaingrade.holds.orders import NoSessionError
-from plantaingrade.holds.promises import WitnessBook
+from plantaingrade.holds.promises import WitnessState
 from plantaingrade.holds.rows import KEY_MAP
 from plantaingrade.keyspace.directory import KeyMaps
 from plantaingrade.keyspace.entity import KeyMap, KeyRange
@@ -478,7 +478,7 @@
         self._own = own
         # No question of this member arrives.
         self.is_cut = False
-        self.book = WitnessBook(boot)
+        self.book = WitnessState(boot)
 
     def choose(self) -> tuple[Witness, ...]:
         """Name up to three others that run."""
@@ -488,7 +488,9 @@
             if place.name != self._own and place.task is not None
         )[:WITNESS_COUNT]
 
-    async def async_ask(self, witness: Witness, question: Question) -> bool:
+    async def async_ask(
+        self, witness: Witness, question: WitnessRequest
+    ) -> bool:
         """Ask one; either way may be lost, or take long."""
         await asyncio.sleep(CALL_S)
         if self.is_cut or not self._world.is_heard():
@@ -539,16 +541,20 @@
         """Tell whether the next word arrives."""
         return self._random.random() >= self.lost_word_share
 
-    def decide(self, witness: Witness, question: Question) -> bool:
+    def decide(self, witness: Witness, question: WitnessRequest) -> bool:
         """Have the run of a member that is named answer, if it still runs."""
         for place in self.places:
             if place.name != witness.name or place.task is None:
                 continue
             match question:
-                case PromiseAsked():
-                    return place.witnesses.book.on_promise(question, _now())
-                case GiveUpAsked():
-                    return place.witnesses.book.on_give_up(question, _now())
+                case PromiseRequest():
+                    return place.witnesses.book.on_promise_request(
+                        question, _now()
+                    )
+                case ExpiryRequest():
+                    return place.witnesses.book.on_expiry_request(
+                        question, _now()
+                    )
         return False
 
     def set_store_away(self, is_away: bool) -> None:
@@ -576,7 +582,7 @@
 
     def move(self, place: FakePlace, keys: KeyRange, target: str) -> None:
         """Give a range away, beside all else that goes on."""
-        give = place.holds.async_give([keys], target)
+        give = place.holds.async_transfer([keys], target)
         move = asyncio.get_running_loop().create_task(give)
         place.moves.append(move)
 
@@ -590,7 +596,7 @@
         """Crash a server; another life of it starts."""
         self.replace_server(place)
         place.life.on_named(place.server.instance, _now())
-        place.holds.on_new_life()
+        place.holds.on_new_incarnation()
 
     def replace_server(self, place: FakePlace) -> None:
         """Crash a server; another life of it starts, and nobody is told."""
--- a/tests/holds/test_coordinator.py
+++ b/tests/holds/test_coordinator.py
@@ -141,7 +141,7 @@
         await settled(world)
         given = places[0].maps.find('cases').owned_by('m1')[0].keys
         places[0].store.faults.append(fault)
-        assert await places[0].holds.async_give([given], 'm2')
+        assert await places[0].holds.async_transfer([given], 'm2')
         await watch(world, 12.0)
         assert world.held_keys() == KEY_COUNT
         assert places[0].maps.find('cases').find(given.first).owner == 'm2'
@@ -190,7 +190,7 @@
         owner = places[0].maps.find('cases').find(5).owner
         giver = next(place for place in places if place.name == owner)
         target = next(place for place in places if place.name != owner)
-        assert await giver.holds.async_give([given], target.name)
+        assert await giver.holds.async_transfer([given], target.name)
         await watch(world, 2.0)
         assert target.server.warm == [given]
         assert target.holds.is_held(7)
@@ -215,7 +215,7 @@
         places[0].server.late_share = 1.0
         await watch(world, 2.0)
         given = places[0].maps.find('cases').owned_by('m1')[0].keys
-        await places[0].holds.async_give([given], 'm2')
+        await places[0].holds.async_transfer([given], 'm2')
         await watch(world, 14.0)
         await world.async_stop()
 
@@ -234,7 +234,7 @@
         await settled(world)
         places[0].server.is_silent = True
         given = places[0].maps.find('cases').owned_by('m1')[0].keys
-        assert await places[0].holds.async_give([given], 'm2')
+        assert await places[0].holds.async_transfer([given], 'm2')
         await watch(world, HOLD_S)
         assert world.held_keys() == KEY_COUNT
         await world.async_stop()
--- a/tests/holds/test_order_connections.py
+++ b/tests/holds/test_order_connections.py
@@ -161,7 +161,7 @@
         for _ in range(3):
             owned = giver.maps.find(SERVICE).owned_by('m1')
             keys = [each.keys for each in owned]
-            outcomes.append(await giver.holds.async_give(keys, 'm2'))
+            outcomes.append(await giver.holds.async_transfer(keys, 'm2'))
             await asyncio.sleep(0.25)
         await world.async_stop()
         return outcomes
--- a/tests/holds/test_passing.py
+++ b/tests/holds/test_passing.py
@@ -60,7 +60,7 @@
             lambda _, key_map: versions.add(key_map.version)
         )
         gives = [
-            world.places[0].holds.async_give([piece], NAMES[1 + place % 2])
+            world.places[0].holds.async_transfer([piece], NAMES[1 + place % 2])
             for place, piece in enumerate(pieces)
         ]
         assert all(await asyncio.gather(*gives))
--- a/tests/holds/test_promises.py
+++ b/tests/holds/test_promises.py
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 
 from plantaingrade.holds.const import BASE_LEASE_S, LEASE_S, SCAN_PERIOD_S
-from plantaingrade.holds.entity import GiveUpAsked, PromiseAsked, Witness
+from plantaingrade.holds.entity import ExpiryRequest, PromiseRequest, Witness
 from plantaingrade.holds.lease import MemberRow
-from plantaingrade.holds.promises import KEPT_S, WitnessBook, is_majority
+from plantaingrade.holds.promises import KEPT_S, WitnessState, is_majority
 from plantaingrade.holds.term import LeaseTerm
 from plantaingrade.keyspace.entity import KEY_COUNT
 from plantaingrade.peers.entity import Member
@@ -181,22 +181,22 @@
     Whatever answers were heard, no write has both a majority that promised it
     and one that gave it up.
     """
-    books = [WitnessBook(witness.boot) for witness in WITNESSES]
+    books = [WitnessState(witness.boot) for witness in WITNESSES]
     promised: dict[int, set[Witness]] = {}
     given_up: dict[int, set[Witness]] = {}
     for what, place, number, length in events:
         witness, book = WITNESSES[place], books[place]
         if what == 'restart':
-            books[place] = WitnessBook(f'{witness.boot}-again')
+            books[place] = WitnessState(f'{witness.boot}-again')
             continue
         if what == 'give-up':
-            asked = GiveUpAsked('m', 'b', number, witness.boot)
-            if book.on_give_up(asked, 0.0):
+            asked = ExpiryRequest('m', 'b', number, witness.boot)
+            if book.on_expiry_request(asked, 0.0):
                 given_up.setdefault(number, set()).add(witness)
             continue
         last = number + length
-        if book.on_promise(
-            PromiseAsked('m', 'b', number, last, witness.boot), 0.0
+        if book.on_promise_request(
+            PromiseRequest('m', 'b', number, last, witness.boot), 0.0
         ):
             for each in range(number, last + 1):
                 promised.setdefault(each, set()).add(witness)
@@ -208,28 +208,30 @@
 @pytest.mark.parametrize('is_promise_first', [False, True])
 def test_what_was_said_first_counts(is_promise_first) -> None:
     """A witness that takes the second question too has said both."""
-    book = WitnessBook('w')
-    promise = PromiseAsked('m', 'b', 2, 4, 'w')
-    give_up = GiveUpAsked('m', 'b', 3, 'w')
+    book = WitnessState('w')
+    promise = PromiseRequest('m', 'b', 2, 4, 'w')
+    give_up = ExpiryRequest('m', 'b', 3, 'w')
     if is_promise_first:
-        assert book.on_promise(promise, 0.0)
-        assert not book.on_give_up(give_up, 0.0)
+        assert book.on_promise_request(promise, 0.0)
+        assert not book.on_expiry_request(give_up, 0.0)
     else:
-        assert book.on_give_up(give_up, 0.0)
-        assert not book.on_promise(promise, 0.0)
+        assert book.on_expiry_request(give_up, 0.0)
+        assert not book.on_promise_request(promise, 0.0)
 
 
 def test_a_write_that_no_longer_stands_may_have_been_given_up() -> None:
-    book = WitnessBook('w')
-    assert book.on_give_up(GiveUpAsked('m', 'b', 2, 'w'), 0.0)
-    assert book.on_promise(PromiseAsked('m', 'b', 3, 4, 'w'), 0.0)
+    book = WitnessState('w')
+    assert book.on_expiry_request(ExpiryRequest('m', 'b', 2, 'w'), 0.0)
+    assert book.on_promise_request(PromiseRequest('m', 'b', 3, 4, 'w'), 0.0)
 
 
 def test_what_was_said_is_kept_for_longer_than_any_lease() -> None:
-    book = WitnessBook('w')
-    assert book.on_promise(PromiseAsked('m', 'b', 1, 2, 'w'), 0.0)
-    book.on_promise(PromiseAsked('n', 'b', 1, 2, 'w'), KEPT_S - 1)
-    assert not book.on_give_up(GiveUpAsked('m', 'b', 2, 'w'), KEPT_S - 1)
+    book = WitnessState('w')
+    assert book.on_promise_request(PromiseRequest('m', 'b', 1, 2, 'w'), 0.0)
+    book.on_promise_request(PromiseRequest('n', 'b', 1, 2, 'w'), KEPT_S - 1)
+    assert not book.on_expiry_request(
+        ExpiryRequest('m', 'b', 2, 'w'), KEPT_S - 1
+    )
     assert KEPT_S > 5 * LEASE_S
 
 
--- a/tests/holds/test_store_away.py
+++ b/tests/holds/test_store_away.py
@@ -38,13 +38,13 @@
         set_store(world, is_away=not is_refusing, is_refusing=is_refusing)
         await asyncio.sleep(NOTICED_S)
         own = holds.registry.key_map.owned_by('m1')[0].keys
-        assert not await holds.async_is_store_there()
-        assert not await holds.async_give([own], 'm2')
+        assert not await holds.async_is_store_available()
+        assert not await holds.async_transfer([own], 'm2')
         assert world.held_keys() == KEY_COUNT
         set_store(world, is_away=False, is_refusing=False)
         await asyncio.sleep(2)
-        assert await holds.async_is_store_there()
-        assert await holds.async_give([own], 'm2')
+        assert await holds.async_is_store_available()
+        assert await holds.async_transfer([own], 'm2')
         await world.async_stop()
 
     run(story())
@@ -59,7 +59,7 @@
         await asyncio.sleep(SETTLED_S)
         set_store(world, is_away=True, is_refusing=False)
         await asyncio.sleep(1)
-        assert not await holds.async_is_store_there()
+        assert not await holds.async_is_store_available()
         assert world.held_keys() == KEY_COUNT
         await world.async_stop()
 
--- a/tests/holds/test_strangers.py
+++ b/tests/holds/test_strangers.py
@@ -75,7 +75,7 @@
         return
     assert row.until_s >= 0
     assert row.until_s.__class__ is float
-    assert row.takes_keys.__class__ is bool
+    assert row.accepts_keys.__class__ is bool
     assert row.member.boot
 
 
--- a/tests/holds/test_turns.py
+++ b/tests/holds/test_turns.py
@@ -9,7 +9,11 @@
 import asyncio
 import random
 
-from plantaingrade.holds.turns import FIRST_WINDOW_S, MAX_WINDOW_S, TurnPauses
+from plantaingrade.holds.backoff import (
+    FIRST_WINDOW_S,
+    MAX_WINDOW_S,
+    ConflictBackoff,
+)
 from plantaingrade.keyspace.entity import KEY_COUNT
 from tests.holds.fakes import World
 from tests.virtual import run
@@ -52,19 +56,19 @@
 
 
 def test_pauses_grow_with_the_changes_that_came_too_late() -> None:
-    turns = TurnPauses(random.Random(1))
-    pauses = [turns.on_late(0.0) for _ in range(MEMBERS)]
+    backoff = ConflictBackoff(random.Random(1))
+    pauses = [backoff.on_conflict(0.0) for _ in range(MEMBERS)]
     assert pauses[0] <= FIRST_WINDOW_S
     assert FIRST_WINDOW_S < max(pauses) <= MAX_WINDOW_S
 
 
 def test_pauses_shrink_with_the_changes_that_are_done() -> None:
-    turns = TurnPauses(random.Random(1))
+    backoff = ConflictBackoff(random.Random(1))
     for _ in range(MEMBERS):
-        turns.on_late(0.0)
+        backoff.on_conflict(0.0)
     for _ in range(MEMBERS):
-        turns.on_done()
-    assert turns.on_late(0.0) <= FIRST_WINDOW_S
+        backoff.on_success()
+    assert backoff.on_conflict(0.0) <= FIRST_WINDOW_S
 
 
 def test_a_slow_answer_widens_the_window_at_once() -> None:
@@ -72,8 +76,8 @@
 
     Doubled from 20 ms the window was wide enough after four such answers.
     """
-    turns = TurnPauses(random.Random(1))
-    pauses = [turns.on_late(MAX_WINDOW_S) for _ in range(MEMBERS)]
+    backoff = ConflictBackoff(random.Random(1))
+    pauses = [backoff.on_conflict(MAX_WINDOW_S) for _ in range(MEMBERS)]
     assert max(pauses[: MEMBERS // 10]) > MAX_WINDOW_S / 4
-    turns.on_done()
-    assert turns.rest_s() <= MAX_WINDOW_S
+    backoff.on_success()
+    assert backoff.deferral_s() <= MAX_WINDOW_S
--- a/tests/holds/test_unheld.py
+++ b/tests/holds/test_unheld.py
@@ -43,7 +43,9 @@
         giver = places[0].holds
         key = giver.registry.key_map.owned_by('m1')[0].keys.first
         places[0].store.is_away = True
-        move = asyncio.create_task(giver.async_give([KeyRange(key, key)], 'm2'))
+        move = asyncio.create_task(
+            giver.async_transfer([KeyRange(key, key)], 'm2')
+        )
         answers = []
         for _ in range(30):
             await asyncio.sleep(LOOK_S)
--- a/tests/sidecar/test_lives.py
+++ b/tests/sidecar/test_lives.py
@@ -200,7 +200,7 @@
             leaving = asyncio.create_task(place.process.async_leave())
             await asyncio.sleep(STEP_S)
             await async_restart(rig, place, STEP_S)
-            assert not place.process.holds.registry.takes_keys
+            assert not place.process.holds.registry.accepts_keys
             await leaving
             assert not place.process.holds.owns_keys
 
--- a/tests/sidecar/test_store_copy.py
+++ b/tests/sidecar/test_store_copy.py
@@ -31,8 +31,8 @@
 def has_carried(place: Place) -> bool:
     """Tell whether a member has joined the epoch after the first."""
     registry = registry_of(place)
-    is_in = registry.is_joined and not registry.is_carrying
-    return is_in and registry.epochs.present == 1
+    is_in = registry.is_joined and not registry.is_migrating
+    return is_in and registry.epochs.current == 1
 
 
 async def move_to_and_fro(rig: Rig) -> None:
@@ -42,7 +42,7 @@
             key_map = registry_of(giver).key_map
             owned = key_map.owned_by(f'{KEYED}@{giver.settings.ip}')
             key = owned[0].keys.first
-            await giver.process.holds.async_give(
+            await giver.process.holds.async_transfer(
                 [KeyRange(key, key)], f'{KEYED}@{target.settings.ip}'
             )
 
