--- a/plantaingrade/holds/__init__.py
+++ b/plantaingrade/holds/__init__.py
@@ -1,1 +1,1 @@
-"""Leases on keys: this process's own, and the grants to its server."""
+"""Leases on keys: this member's own lease, and the grants to its server."""
--- a/plantaingrade/holds/answers.py
+++ b/plantaingrade/holds/availability.py
@@ -1,35 +1,36 @@
-"""Whether the store would probably answer a change now. Pure."""
+"""Decide from recent outcomes whether the store would answer a change. Pure."""
 
 
-class StoreAnswers:
-    """What became of the last reading and the last change.
+class StoreAvailability:
+    """Outcomes of the last read and the last change.
 
-    A store may refuse changes alone.
+    The two are tracked apart because a store may answer reads and refuse
+    changes.
     """
 
-    __slots__ = ('_is_change_answered', '_is_read_answered', 'last_at')
+    __slots__ = ('_is_change_answered', '_is_read_answered', 'last_response_at')
 
     def __init__(self) -> None:
-        """Know of no answer; nothing was read in vain yet."""
+        """Assume that reads work; no change has been answered yet."""
         self._is_read_answered = True
         self._is_change_answered = False
-        self.last_at = 0.0
+        self.last_response_at = 0.0
 
     @property
-    def are_coming(self) -> bool:
-        """Tell whether the last call of each kind had an answer."""
+    def is_available(self) -> bool:
+        """Return whether the last read and the last change were answered."""
         return self._is_read_answered and self._is_change_answered
 
     def on_read(self, now: float, *, is_answered: bool) -> None:
-        """Note what became of a reading."""
+        """Record whether a read was answered."""
         self._is_read_answered = is_answered
         self._note(now, is_answered=is_answered)
 
     def on_change(self, now: float, *, is_answered: bool) -> None:
-        """Note what became of a change."""
+        """Record whether a change was answered."""
         self._is_change_answered = is_answered
         self._note(now, is_answered=is_answered)
 
     def _note(self, now: float, *, is_answered: bool) -> None:
         if is_answered:
-            self.last_at = now
+            self.last_response_at = now
--- a/plantaingrade/holds/changes.py
+++ b/plantaingrade/holds/changes.py
@@ -1,4 +1,4 @@
-"""Changes of a service's rows, and what came of them."""
+"""Changes to a service's rows, and their results."""
 
 from enum import StrEnum
 
@@ -10,7 +10,7 @@
 
 
 class CommitResult(StrEnum):
-    """What came of a change."""
+    """Result of committing a change."""
 
     DONE = 'done'
     NOT_WANTED = 'not-wanted'
@@ -19,12 +19,13 @@
 
 
 class Change(Struct, frozen=True):
-    """A change beside the renewal of the own row.
+    """A change committed together with the renewal of the member's own row.
 
-    ``key_map`` replaces the map, if given; ``removed`` are rows of members
-    whose leases have lapsed; ``absent`` names members that must have no row.
-    ``epoch_start`` is written where an epoch has none; with ``needs_map`` the
-    map must still be the one known, also if it stays.
+    ``key_map`` replaces the map, if given. ``removed`` holds the rows of
+    members whose leases have lapsed; ``absent`` names members that must have no
+    row. ``epoch_start`` is written if the epoch has no such row yet. With
+    ``needs_map`` the commit requires that the stored map is the one known here,
+    even if it is not replaced.
     """
 
     key_map: KeyMap | None = None
@@ -35,10 +36,10 @@
 
 
 class SentWrite(Struct, frozen=True):
-    """A row and a change that were sent together.
+    """A row and a change that were sent in one transaction.
 
-    A barrier is a renewal that only makes sure that earlier writes can no
-    longer be applied. ``base`` is the map that the change was made from.
+    A barrier is a renewal sent only to make sure that earlier writes can no
+    longer be applied. ``base`` is the map from which the change was made.
     """
 
     row: MemberRow
@@ -47,28 +48,30 @@
     base: KeyMap
 
     @property
-    def ending(self) -> CommitResult | None:
-        """Return what it means for the attempt that this was applied."""
+    def final_result(self) -> CommitResult | None:
+        """Return the result of the attempt if applying this write ends it."""
         return None if self.is_barrier else CommitResult.DONE
 
 
-class Attempt(Struct):
-    """How long a change is tried, and what of it is open.
+class CommitAttempt(Struct):
+    """Time limits of one commit, and its writes that have no answer yet.
 
-    It ends with the epoch of the store in which it began. It is undisturbed as
-    long as the store has answered each write.
+    An attempt ends with the epoch of the store in which it began. The longer
+    limit ``contended_until`` applies as long as ``has_only_conflicts`` is set:
+    the store has answered each write, and only changes by others are in the
+    way.
     """
 
     epoch: int
     until: float
-    crowded_until: float
+    contended_until: float
     sent_by_id: dict[str, SentWrite] = field(default_factory=dict)
-    is_undisturbed: bool = True
+    has_only_conflicts: bool = True
 
     @property
     def ends(self) -> float:
-        """Return until when a change is tried."""
-        return self.crowded_until if self.is_undisturbed else self.until
+        """Return the local time until which the change is retried."""
+        return self.contended_until if self.has_only_conflicts else self.until
 
 
 RENEWAL = Change()
--- a/plantaingrade/holds/coordinator.py
+++ b/plantaingrade/holds/coordinator.py
@@ -1,4 +1,4 @@
-"""Own keys: join, keep the lease and the grants, take over, give away."""
+"""Own keys: join, keep the lease and the grants, take over, transfer."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -12,17 +12,17 @@
 from plantaingrade.eventlog import EventLog
 from plantaingrade.holds.changes import RENEWAL, Change, CommitResult
 from plantaingrade.holds.const import (
-    ANSWER_MAX_AGE_S,
-    HINT_PAUSE_S,
+    MAP_HINT_DELAY_S,
+    MAX_RESPONSE_AGE_S,
     RETRY_S,
 )
-from plantaingrade.holds.doubts import Doubts
 from plantaingrade.holds.extension import LeaseExtension
-from plantaingrade.holds.granter import FenceDoubt, Granter
+from plantaingrade.holds.granter import Granter, RefenceReason
 from plantaingrade.holds.joining import Joining
 from plantaingrade.holds.orders import ServerOrders
-from plantaingrade.holds.plans import plan_outrank
+from plantaingrade.holds.plans import plan_new_fences
 from plantaingrade.holds.registry import Planner, Registry
+from plantaingrade.holds.suspects import SuspectExpiry
 from plantaingrade.holds.takeovers import Takeovers
 from plantaingrade.holds.transfer import Transfers
 from plantaingrade.holds.unheld import UnheldRanges
@@ -38,18 +38,18 @@
 
 
 class MemberLinks(Struct, frozen=True):
-    """How one member speaks with the others.
+    """Connections of one member to its peers.
 
     ``on_joined`` is called once it holds a lease.
     """
 
-    courier: Courier
+    relay: Courier
     witnesses: Witnesses
     on_joined: Callable[[], None]
 
 
 class HoldCoordinator:
-    """Hold keys for one member and its backend server."""
+    """Holds keys for one member and its backend server."""
 
     def __init__(
         self,
@@ -64,9 +64,9 @@
         *,
         starts_with_all: bool = False,
     ) -> None:
-        """Hold nothing yet; ``starts_with_all`` is as for the registry."""
-        courier, witnesses = links.courier, links.witnesses
-        self._courier = courier
+        """Start without keys; for ``starts_with_all`` see ``Registry``."""
+        relay, witnesses = links.relay, links.witnesses
+        self._relay = relay
         self._on_joined = links.on_joined
         self._clock = clock
         self._log = log
@@ -82,71 +82,81 @@
             log,
             starts_with_all=starts_with_all,
         )
-        self._epoch_begun = asyncio.Event()
-        store.epochs.listen(lambda _epoch, _before: self._epoch_begun.set())
+        self._epoch_started = asyncio.Event()
+        store.epochs.listen(lambda _epoch, _before: self._epoch_started.set())
         self._extension = LeaseExtension(self.registry, witnesses, clock, log)
         self._takeovers = Takeovers(
             self.registry,
-            Doubts(self.registry, witnesses, log),
+            SuspectExpiry(self.registry, witnesses, log),
             self._async_commit,
             clock,
         )
         self.granter = Granter(
-            self.registry, orders, clock, log, self._notify, self._wake.set
+            self.registry,
+            orders,
+            clock,
+            log,
+            self._notify_waiters,
+            self._wake.set,
         )
         self._transfers = Transfers(
-            self.registry, self.granter, clock, log, courier, self._stir
+            self.registry,
+            self.granter,
+            clock,
+            log,
+            relay,
+            self._on_transfer_ended,
         )
         self._joining = Joining(
             self.registry,
-            self._async_commit_entry,
-            self._on_entered,
+            self._async_commit_join,
+            self._handle_joined,
             clock,
             log,
         )
         self._changed = asyncio.Event()
         self._hinted = asyncio.Event()
         self._hinted_version = 0
-        self._fences_wanted = asyncio.Event()
+        self._fences_needed = asyncio.Event()
         self._owned: list[Assignment] = []
         self._unheld = UnheldRanges()
 
     def on_map(self, service: str) -> None:
-        """Act on a changed map at once.
+        """React to a changed map at once.
 
-        Grants are looked at only if own ranges have changed: the keys of other
-        members may change ten times a second.
+        Grants are checked only if own ranges have changed, because the keys of
+        other members may change ten times a second.
         """
         if service != self._member.service:
             return
         key_map = self.registry.key_map
         if key_map.epoch > self.registry.epochs.current:
-            # Another process has heard of an epoch that this one has not.
+            # Another process knows an epoch that this one does not know yet.
             self._hinted.set()
         owned = key_map.owned_by(self._member.name)
         if owned != self._owned:
             self._owned = owned
             self._wake.set()
-        self._notify()
+        self._notify_waiters()
 
     def on_hint(self, version: int) -> None:
-        """Take the word of another process that a map is newer."""
+        """Read the map soon if another process knows a newer version."""
         if version > self.registry.key_map.version:
             self._hinted_version = max(self._hinted_version, version)
             self._hinted.set()
 
     def on_new_incarnation(self) -> None:
-        """Grant to a new life of the server."""
+        """Grant the keys to a new incarnation of the server."""
         self.granter.on_new_incarnation()
         self._wake.set()
 
     def expect_handover(self, token: Token) -> None:
-        """Use a token that the last holder of a range sent."""
+        """Use a handover token from the last holder of a range."""
         self.granter.expect_handover(token)
 
     @property
     def owns_keys(self) -> bool:
-        """Tell whether any key is this member's."""
+        """Return whether this member owns any key."""
         if not self.registry.is_joined:
             return False
         return bool(self.registry.key_map.owned_by(self._member.name))
@@ -159,7 +169,7 @@
         return assignment
 
     def is_held(self, key: int) -> bool:
-        """Tell whether work on a key may begin at the server now."""
+        """Return whether work on a key may begin at the server now."""
         now = self._clock.now()
         assignment = self.find_own(key)
         if assignment is None or self.granter.is_moving(key):
@@ -169,10 +179,10 @@
         return self.granter.is_held(assignment, key, now)
 
     def is_overdue(self, key: int) -> bool:
-        """Tell whether an own key is not worth waiting for.
+        """Return whether requests should not wait for an own key.
 
-        It was not held for too long, or its server cannot be reached: that
-        takes a restart, longer than most requests can wait.
+        The key has been unheld for too long, or its server cannot be reached: a
+        restart takes longer than most requests can wait.
         """
         own = self.find_own(key)
         if own is None:
@@ -203,51 +213,55 @@
             await self.granter.async_stop()
 
     async def async_transfer(self, keys: list[KeyRange], target: str) -> bool:
-        """Pass ranges to another member; tell whether they have passed."""
+        """Transfer ranges to another member; return whether that worked."""
         return await self._transfers.async_transfer(keys, target)
 
     async def async_is_store_available(self) -> bool:
-        """Tell whether a change of the map would be answered now.
+        """Return whether the store would answer a change of the map now.
 
-        Nothing is asked if an answer came just now.
+        The store is read only if its last response is too old.
         """
-        age_s = self._clock.now() - self.registry.answers.last_at
-        if age_s > ANSWER_MAX_AGE_S:
-            self._takeovers.note_store(is_ok=await self.registry.async_read())
-        return self.registry.answers.are_coming
+        age_s = self._clock.now() - self.registry.availability.last_response_at
+        if age_s > MAX_RESPONSE_AGE_S:
+            self._takeovers.on_store_result(
+                is_ok=await self.registry.async_read()
+            )
+        return self.registry.availability.is_available
 
-    def _stir(self) -> None:
+    def _on_transfer_ended(self) -> None:
         self._wake.set()
-        self._notify()
+        self._notify_waiters()
 
     async def _async_commit(
         self, plan: Planner, limit_s: float = CHANGE_LIMIT_S
     ) -> CommitResult:
-        """Commit a change of the map and tell the others of it."""
-        return await self._async_tell(self.registry.async_commit(plan, limit_s))
+        """Commit a change of the map and notify all members of it."""
+        return await self._async_broadcast_after(
+            self.registry.async_commit(plan, limit_s)
+        )
 
-    async def _async_commit_entry(
+    async def _async_commit_join(
         self, plan: Planner, limit_s: float
     ) -> CommitResult:
         """Commit the change by which this member joins."""
         is_migrating = self.registry.is_migrating
-        return await self._async_tell(
+        return await self._async_broadcast_after(
             self.registry.async_commit(
-                plan, limit_s, joins=not is_migrating, carries=is_migrating
+                plan, limit_s, joins=not is_migrating, migrates=is_migrating
             )
         )
 
-    async def _async_tell(
+    async def _async_broadcast_after(
         self, commit: Awaitable[CommitResult]
     ) -> CommitResult:
-        """Tell the others if a commit has changed the map."""
+        """Notify all members if a commit has changed the map."""
         committed = await commit
         after = self.registry.key_map
-        own = self.registry.own
+        own = self.registry.own_row
         is_changed = own is not None and own.version == after.version
         if committed is CommitResult.DONE and is_changed:
-            before = self.registry.changed_from
-            self._courier.spread(self._member.service, before, after)
+            before = self.registry.change_base
+            self._relay.spread(self._member.service, before, after)
         return committed
 
     async def _async_lease_loop(self) -> None:
@@ -255,34 +269,36 @@
             pause_s = await self._async_keep_lease()
             with suppress(TimeoutError):
                 async with asyncio.timeout(pause_s):
-                    await self._epoch_begun.wait()
+                    await self._epoch_started.wait()
 
     async def _async_keep_lease(self) -> float:
         """Join or renew once; return the pause until the next time."""
         registry = self.registry
-        self._epoch_begun.clear()
-        registry.follow_epoch()
+        self._epoch_started.clear()
+        registry.advance_epoch()
         if not self._life.takes_work and not registry.is_joined:
             return RETRY_S
         if not registry.is_joined or registry.is_migrating:
-            return await self._async_enter()
+            return await self._async_join_epoch()
         committed = await registry.async_commit(_plan_renewal, RENEW_LIMIT_S)
-        self._takeovers.note_store(is_ok=committed is not CommitResult.FAILED)
+        self._takeovers.on_store_result(
+            is_ok=committed is not CommitResult.FAILED
+        )
         if committed is CommitResult.DONE:
             return registry.lease_times().renew_s
         return RETRY_S
 
-    async def _async_enter(self) -> float:
-        """Join anew, or with the lease of an earlier epoch of the store."""
+    async def _async_join_epoch(self) -> float:
+        """Join as a new run, or with a lease of an earlier epoch."""
         is_read = await self.registry.async_read()
-        self._takeovers.note_store(is_ok=is_read)
+        self._takeovers.on_store_result(is_ok=is_read)
         if not is_read:
             return RETRY_S
         if self.registry.is_migrating:
-            return await self._joining.async_carry_over()
+            return await self._joining.async_migrate_lease()
         return await self._joining.async_join()
 
-    def _on_entered(self) -> None:
+    def _handle_joined(self) -> None:
         self._wake.set()
         self._on_joined()
 
@@ -290,8 +306,8 @@
         while True:
             if self.registry.is_joined and self._life.takes_work:
                 await self.granter.opener.async_open()
-                if self.granter.find_doubt() is not FenceDoubt.NONE:
-                    self._fences_wanted.set()
+                if self.granter.find_refence_reason() is not RefenceReason.NONE:
+                    self._fences_needed.set()
                 self.granter.start_grants()
             self._wake.clear()
             with suppress(TimeoutError):
@@ -299,39 +315,39 @@
                     await self._wake.wait()
 
     async def _async_fence_loop(self) -> None:
-        """Take new fences when they are needed, beside the renewals.
+        """Renew the fences when needed, in parallel with lease renewals.
 
-        Grants under fences that are in order need nothing of the store.
+        Grants under valid fences don't depend on the store.
         """
-        plan = partial(plan_outrank, moving=self.granter.moving)
+        plan = partial(plan_new_fences, moving=self.granter.moving)
         while True:
-            await self._fences_wanted.wait()
-            self._fences_wanted.clear()
-            doubt = self.granter.find_doubt()
-            if doubt is FenceDoubt.NONE:
+            await self._fences_needed.wait()
+            self._fences_needed.clear()
+            reason = self.granter.find_refence_reason()
+            if reason is RefenceReason.NONE:
                 continue
             committed = await self._async_commit(plan)
             self._log.write(
                 'fences-renewed',
-                why=doubt,
+                why=reason,
                 outcome=committed,
                 map_version=self.registry.key_map.version,
             )
             if committed in {CommitResult.DONE, CommitResult.NOT_WANTED}:
-                self.granter.on_refenced()
+                self.granter.on_fences_renewed()
                 self._wake.set()
             else:
                 await asyncio.sleep(RETRY_S)
 
     async def _async_hint_loop(self) -> None:
-        """Read the map when others go by a newer one.
+        """Read the map when peers use a newer one.
 
-        A request often arrives before the datagram that tells of the change
-        by which it was sent, which is there within milliseconds.
+        A request often arrives before the datagram about the change by which it
+        was routed, which follows within milliseconds.
         """
         while True:
             await self._hinted.wait()
-            await asyncio.sleep(HINT_PAUSE_S)
+            await asyncio.sleep(MAP_HINT_DELAY_S)
             self._hinted.clear()
             known = self.registry.key_map
             is_behind = self._hinted_version > known.version
@@ -339,7 +355,7 @@
                 await self.registry.async_read()
                 await asyncio.sleep(RETRY_S)
 
-    def _notify(self) -> None:
+    def _notify_waiters(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
--- a/plantaingrade/holds/entity.py
+++ b/plantaingrade/holds/entity.py
@@ -1,4 +1,4 @@
-"""Typed orders to the own backend server, and questions to witnesses."""
+"""Orders to the member's own backend server, and requests to witnesses."""
 
 from msgspec import Struct
 
@@ -7,9 +7,9 @@
 
 
 class Grant(Struct, frozen=True):
-    """Order to hold a range for some seconds from the order's arrival.
+    """Order to hold a range for ``hold_s`` seconds from the order's arrival.
 
-    ``handover`` is the token that the last holder gave when it released the
+    ``handover`` is the token that the last holder returned when it released the
     range; with it the server need not warm up again.
     """
 
@@ -20,14 +20,14 @@
 
 
 class Release(Struct, frozen=True):
-    """Order to stop work on a range; answered when what ran has ended."""
+    """Order to stop work on a range; answered when running work has ended."""
 
     keys: KeyRange
     fence: int
 
 
 class Accepted(Struct, frozen=True):
-    """The server carried the order out."""
+    """The server executed the order."""
 
     handover: str = ''
 
@@ -37,18 +37,19 @@
 
 
 class Unanswered(Struct, frozen=True):
-    """The server may have carried the order out, or may do so later."""
+    """The server may have executed the order, or may still do so later."""
 
 
 class Unsent(Struct, frozen=True):
-    """The server never saw the order.
+    """The order never reached the server.
 
-    The session was over, no turn came in time, or no connection was made.
+    The session was over, no connection became free in time, or none could be
+    opened.
     """
 
 
 class Rejected(Struct, frozen=True):
-    """The server answered with another status; it may not have understood."""
+    """The server answered with another status and may not have understood."""
 
     status: int
 
@@ -57,17 +58,17 @@
 
 
 class Witness(Struct, frozen=True, order=True):
-    """One run of a process that a member has named in its row."""
+    """One run of a process, named as a witness in a member's row."""
 
     name: str
     boot: str
 
 
 class PromiseRequest(Message, tag='PromiseAsked'):
-    """A member asks a witness not to give it up.
+    """Ask a witness to promise not to let the sender's lease expire early.
 
-    The promise is for its writes from ``first``, the last that it knows to
-    stand in the store, to ``last``, the last that it has sent.
+    The promise covers the sender's writes from ``first``, the last one known to
+    be in the store, to ``last``, the last one sent.
     """
 
     name: str
@@ -78,9 +79,9 @@
 
 
 class ExpiryRequest(Message, tag='GiveUpAsked'):
-    """A member asks a witness to give another up.
+    """Ask a witness to agree that another member's lease has expired early.
 
-    ``number`` is that of the write that stands in the other's row.
+    ``number`` is that of the write found in the other member's row.
     """
 
     name: str
--- a/plantaingrade/holds/epoch_start.py
+++ b/plantaingrade/holds/epoch_start.py
@@ -1,9 +1,9 @@
 """The row that says until when leases of earlier epochs may run.
 
-A store that comes back from a copy knows neither who renewed nor which keys
-passed on in the seconds that are gone. So nothing is concluded from rows of the
-copy: each epoch has rows of its own. Members that hold a lease carry it over;
-keys that nobody carries over rest until every earlier lease is over.
+A store that was restored from a snapshot has lost who renewed and which keys
+were transferred in its last seconds. So rows of the snapshot are not used: each
+epoch has rows of its own. Members that hold a lease migrate it; keys that
+nobody migrates stay unserved until every earlier lease is over.
 """
 
 import json
@@ -14,38 +14,38 @@
 from plantaingrade.schema import SchemaError, parse_object
 
 
-# Stands for the time in a row that cannot be read.
+# Time in place of one that cannot be read.
 UNKNOWN_S = float('inf')
 
 
 class EpochStart(Struct, frozen=True):
-    """When all leases of earlier epochs are over, by the store's clock."""
+    """Time of the store's clock when leases of earlier epochs are over."""
 
     leases_over_s: float
     version: int = 0
 
     @property
     def is_readable(self) -> bool:
-        """Tell whether the row says when they are over."""
+        """Return whether the row could be read."""
         return self.leases_over_s < UNKNOWN_S
 
 
 def encode_epoch_start(start: EpochStart) -> bytes:
-    """Return the row's body."""
+    """Return the encoded body of the row."""
     fields = {'leases_over': round(start.leases_over_s, 3)}
     return json.dumps(fields, separators=(',', ':')).encode()
 
 
 def decode_epoch_start(body: bytes, version: int) -> EpochStart:
-    """Return what a row says.
+    """Return the start decoded from a row's body.
 
     Raises:
-        UnreadableLeaseError: the bytes hold no such time.
+        UnreadableLeaseError: the body does not hold a valid time.
     """
     try:
         ends_s = parse_object(body).number('leases_over', 0, MAX_STORE_S)
     except SchemaError as error:
         raise UnreadableLeaseError(
-            f'Start of an epoch not understood: {error}'
+            f'Invalid start row of an epoch: {error}'
         ) from error
     return EpochStart(ends_s, version)
--- a/plantaingrade/holds/fences.py
+++ b/plantaingrade/holds/fences.py
@@ -1,21 +1,21 @@
-"""Which session each fence was sent in. Pure."""
+"""Track the session in which each fence was first sent. Pure."""
 
 
-class FenceBook:
-    """Bind fences to sessions with the server."""
+class FenceSessions:
+    """Binds fences to sessions with the server."""
 
     __slots__ = ('_session_by_fence',)
 
     def __init__(self) -> None:
-        """Know no fence that was sent."""
+        """Start without fences."""
         self._session_by_fence: dict[int, int] = {}
 
     def may_send(self, fence: int, session: int) -> bool:
-        """Tell whether a fence is known to no other session."""
+        """Return whether a fence is bound to no other session."""
         return self._session_by_fence.get(fence, session) == session
 
     def is_bound(self, fence: int, session: int) -> bool:
-        """Tell whether a fence was sent in this session."""
+        """Return whether a fence was sent in this session."""
         return self._session_by_fence.get(fence) == session
 
     def session_of(self, fence: int) -> int | None:
@@ -23,9 +23,9 @@
         return self._session_by_fence.get(fence)
 
     def bind(self, fence: int, session: int, lowest: int) -> None:
-        """Bind a fence that was not sent yet, and forget those that are past.
+        """Bind a fence to a session, and remove fences below ``lowest``.
 
-        Fences only rise, so none below the ``lowest`` owned is sent again.
+        Fences only increase, so none below the lowest one owned is sent again.
         """
         self._session_by_fence = {
             known: bound
--- a/plantaingrade/holds/granter.py
+++ b/plantaingrade/holds/granter.py
@@ -1,4 +1,4 @@
-"""Grant the keys that this member owns to the backend server, and renew."""
+"""Grant the keys that this member owns to the backend server."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,12 +9,12 @@
 from plantaingrade.holds.const import (
     ARRIVAL_SLACK_S,
     CLOCK_RATE_MARGIN,
+    CONNECTION_WAIT_S,
     HOLD_S,
     MIN_HOLD_LEFT_S,
     ORDER_TIMEOUT_S,
     RELEASE_TIMEOUT_S,
     RETRY_ORDER_S,
-    TURN_TIMEOUT_S,
 )
 from plantaingrade.holds.entity import (
     Accepted,
@@ -26,20 +26,20 @@
     Unanswered,
     Unsent,
 )
-from plantaingrade.holds.fences import FenceBook
+from plantaingrade.holds.fences import FenceSessions
 from plantaingrade.holds.ledger import GrantLedger
-from plantaingrade.holds.opening import SessionOpener
 from plantaingrade.holds.orders import (
     GrantTurn,
     NoSessionError,
     ServerOrders,
 )
 from plantaingrade.holds.registry import Registry
+from plantaingrade.holds.session_opener import SessionOpener
 from plantaingrade.keyspace.entity import Assignment, KeyRange
 from plantaingrade.peers.entity import Token
 
 
-class FenceDoubt(StrEnum):
+class RefenceReason(StrEnum):
     """Why the keys of this member need new fences."""
 
     NONE = 'none'
@@ -49,19 +49,19 @@
 
 
 class Granter:
-    """Keep the server's grants in step with what this member owns.
+    """Keeps the server's grants in line with what this member owns.
 
-    A fence is bound to the session in which it was sent first, which reaches
-    one life of the server only; after that session new fences are taken. So two
-    lives never hold keys under one fence, whatever started at the server's
-    address.
+    A fence is bound to the session in which it was first sent, and a session
+    reaches one incarnation of the server only; after it new fences are needed.
+    So two incarnations never hold keys under the same fence, whichever process
+    starts at the server's address.
     """
 
     __slots__ = (
         '_clock',
         '_fences',
         '_grants_by_keys',
-        '_is_outranked',
+        '_is_superseded',
         '_log',
         '_on_change',
         '_on_retry',
@@ -83,10 +83,10 @@
         on_change: Callable[[], None],
         on_retry: Callable[[], None],
     ) -> None:
-        """Grant nothing yet.
+        """Start without grants.
 
         ``on_change`` is called when a hold begins, ``on_retry`` when grants
-        should be looked at before the next period.
+        should be checked before the next period.
         """
         self._registry = registry
         self._orders = orders
@@ -100,23 +100,24 @@
         self._token_by_keys: dict[KeyRange, str] = {}
         self.ledger = GrantLedger()
         self.moving: set[KeyRange] = set()
-        self._fences = FenceBook()
-        self._is_outranked = False
+        self._fences = FenceSessions()
+        self._is_superseded = False
         self.opener = SessionOpener(orders, clock, log)
 
     @property
     def is_unreachable(self) -> bool:
-        """Tell whether the server was tried and not reached.
+        """Return whether the last attempt to reach the server failed.
 
-        A process that has not tried yet has its grants in some milliseconds.
+        It is not unreachable before the first attempt: a process that has just
+        started has its grants within milliseconds.
         """
         return not self._orders.session and self.opener.has_failed
 
     def is_held(self, assignment: Assignment, key: int, now: float) -> bool:
-        """Tell whether work on a key may begin now.
+        """Return whether work on a key may begin now.
 
-        What was granted in an earlier session may be held by a life that is
-        over.
+        Grants of an earlier session don't count: the incarnation that holds
+        them may have ended.
         """
         if not self._fences.is_bound(assignment.fence, self._orders.session):
             return False
@@ -124,47 +125,47 @@
         return ends - now > MIN_HOLD_LEFT_S
 
     def is_moving(self, key: int) -> bool:
-        """Tell whether a key is being given away."""
+        """Return whether a key is being transferred."""
         return self.moving_range(key) is not None
 
     def moving_range(self, key: int) -> KeyRange | None:
-        """Return the range that is being given away with a key, if any."""
+        """Return the range that is being transferred with a key, if any."""
         return next((keys for keys in self.moving if key in keys), None)
 
     def expect_handover(self, token: Token) -> None:
-        """Use a token with the first grant of its range."""
+        """Use a handover token with the first grant of its range."""
         self._token_by_keys[token.keys] = token.token
 
     def on_new_incarnation(self) -> None:
-        """Forget the tokens of an earlier life; try to reach the new one."""
+        """Discard tokens of the earlier incarnation; connect to the new one."""
         self._token_by_keys.clear()
         self.opener.on_new_incarnation()
 
-    def find_doubt(self) -> FenceDoubt:
-        """Tell why new fences are needed before all keys can be granted."""
-        if self._is_outranked:
-            return FenceDoubt.OUTRANKED
+    def find_refence_reason(self) -> RefenceReason:
+        """Return why new fences are needed before all keys can be granted."""
+        if self._is_superseded:
+            return RefenceReason.OUTRANKED
         lowest = self._registry.epochs.lowest_fence
         if any(assignment.fence < lowest for assignment in self._owned()):
-            return FenceDoubt.EPOCH
+            return RefenceReason.EPOCH
         session = self._orders.session
         if session and any(
             not self._fences.may_send(assignment.fence, session)
             for assignment in self._owned()
-            if self._parts(assignment.keys)
+            if self._ranges_to_grant(assignment.keys)
         ):
-            return FenceDoubt.SESSION
-        return FenceDoubt.NONE
+            return RefenceReason.SESSION
+        return RefenceReason.NONE
 
-    def on_refenced(self) -> None:
-        """Note that all own keys have had new fences since a refusal."""
-        self._is_outranked = False
+    def on_fences_renewed(self) -> None:
+        """Record that all own keys got new fences since the last refusal."""
+        self._is_superseded = False
 
     def start_grants(self) -> None:
-        """Send a grant for each range owned, unless one is under way.
+        """Send a grant for each owned range, unless one is in flight.
 
-        The hold that ends first is renewed first: not all orders may pass in a
-        period.
+        The hold that ends first is renewed first, since not all orders may be
+        sent within a period.
         """
         session = self._orders.session
         if not session:
@@ -174,12 +175,12 @@
                 return
             if not self._may_send(assignment.fence, session):
                 continue
-            for keys in self._parts(assignment.keys):
+            for keys in self._ranges_to_grant(assignment.keys):
                 if keys not in self._grants_by_keys:
                     self._start(keys, assignment.fence, session)
 
-    async def async_settle(self, keys: KeyRange) -> None:
-        """Wait until no grant on these keys is under way."""
+    async def async_wait_for_grants(self, keys: KeyRange) -> None:
+        """Wait until no grant on these keys is in flight."""
         tasks = [
             task
             for granted, task in self._grants_by_keys.items()
@@ -189,7 +190,7 @@
             await asyncio.wait(tasks)
 
     async def async_release(self, assignment: Assignment) -> str | None:
-        """Take a range back; return the token, or nothing if unanswered."""
+        """Release a range; return the token, or ``None`` if not confirmed."""
         order = Release(assignment.keys, assignment.fence)
         outcome = await self._orders.async_release(order, RELEASE_TIMEOUT_S)
         self._log.write(
@@ -204,17 +205,17 @@
         return None
 
     async def async_stop(self) -> None:
-        """Cancel what is under way."""
+        """Cancel all grants that are in flight."""
         tasks = list(self._grants_by_keys.values())
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _parts(self, keys: KeyRange) -> list[KeyRange]:
-        """Return the parts of a range that are granted by themselves.
+    def _ranges_to_grant(self, keys: KeyRange) -> list[KeyRange]:
+        """Return the parts of a range that are granted separately.
 
-        What is being given away is left out. What came with a token is
-        granted alone, since the token is of that range.
+        Parts that are being transferred are left out. A part with a handover
+        token is granted alone, since the token is valid for that range only.
         """
         parts = [keys]
         for moving in self.moving:
@@ -240,7 +241,7 @@
         return self.ledger.held_until(assignment.keys.first, assignment.fence)
 
     def _hold_s(self) -> float:
-        """Return a hold that ends before this member's lease does.
+        """Return the duration of a hold that ends before this member's lease.
 
         The order may arrive late, and the server's clock may run slow.
         """
@@ -258,9 +259,9 @@
         self, keys: KeyRange, fence: int, session: int
     ) -> None:
         try:
-            async with asyncio.timeout(TURN_TIMEOUT_S) as patience:
+            async with asyncio.timeout(CONNECTION_WAIT_S) as wait_limit:
                 async with self._orders.turn(session) as turn:
-                    patience.reschedule(None)
+                    wait_limit.reschedule(None)
                     await self._async_send(turn, keys, fence)
         except (NoSessionError, TimeoutError):
             self._log_grant(Grant(keys, fence, 0.0), Unsent(), session)
@@ -270,10 +271,10 @@
     async def _async_send(
         self, turn: GrantTurn, keys: KeyRange, fence: int
     ) -> None:
-        """Send a grant that is made now, when nothing stands before it.
+        """Create and send a grant once a connection is available.
 
-        Made earlier, it could wait for its turn or a connection, and hold
-        longer than was counted.
+        A grant made earlier could wait for the connection, and its hold would
+        then last longer than recorded.
         """
         hold_s = self._hold_s()
         if hold_s <= MIN_HOLD_LEFT_S:
@@ -287,11 +288,11 @@
         except asyncio.CancelledError:
             self.ledger.on_unanswered(grant, sent_at)
             raise
-        self._take_outcome(grant, outcome, sent_at, is_first=first)
+        self._apply_outcome(grant, outcome, sent_at, is_first=first)
         if first or not isinstance(outcome, Accepted):
             self._log_grant(grant, outcome, self._fences.session_of(fence))
 
-    def _take_outcome(
+    def _apply_outcome(
         self,
         grant: Grant,
         outcome: OrderOutcome,
@@ -308,16 +309,16 @@
                     self._on_change()
             case Unanswered():
                 self.ledger.on_unanswered(grant, sent_at)
-                self._retry_soon()
+                self._schedule_retry()
             case Rejected():
-                # Sent again with the next renewals: at once it would be
+                # Retried with the next renewals. An immediate retry would be
                 # rejected at once, some thousand times a second.
                 self.ledger.on_unanswered(grant, sent_at)
             case Outranked():
-                self._is_outranked = True
+                self._is_superseded = True
 
-    def _retry_soon(self) -> None:
-        """Look at the grants again soon, once for all that had no answer."""
+    def _schedule_retry(self) -> None:
+        """Check the grants again soon, once for all unanswered ones."""
         if self._retry is not None and not self._retry.cancelled():
             return
         loop = asyncio.get_running_loop()
--- a/plantaingrade/holds/joining.py
+++ b/plantaingrade/holds/joining.py
@@ -1,4 +1,4 @@
-"""Join a service: as a new run, or with the lease of an earlier epoch."""
+"""Join a service: as a new run, or with a lease of an earlier epoch."""
 
 from collections.abc import Awaitable, Callable
 
@@ -11,22 +11,22 @@
     MIN_JOIN_WAIT_S,
     RETRY_S,
 )
-from plantaingrade.holds.plans import plan_carry_over, plan_outrank
+from plantaingrade.holds.plans import plan_lease_migration, plan_new_fences
 from plantaingrade.holds.registry import Planner, Registry
 
-# Commits a plan within a time, and tells the others of the map.
-CommitAndTell = Callable[[Planner, float], Awaitable[CommitResult]]
+# Commits a plan within a time limit, and notifies the peers of the new map.
+CommitAndBroadcast = Callable[[Planner, float], Awaitable[CommitResult]]
 
 
 class Joining:
-    """Join with a member's row; each step returns the pause until the next."""
+    """Joins with a member's row; steps return the pause until the next."""
 
     __slots__ = ('_clock', '_commit', '_log', '_on_joined', '_registry')
 
     def __init__(
         self,
         registry: Registry,
-        commit: CommitAndTell,
+        commit: CommitAndBroadcast,
         on_joined: Callable[[], None],
         clock: Clock,
         log: EventLog,
@@ -39,17 +39,17 @@
         self._log = log
 
     async def async_join(self) -> float:
-        """Take up what an earlier run owned, under new fences.
+        """Adopt the keys that an earlier run owned, under new fences.
 
-        An earlier run may have sent grants that are carried out later. Under
-        a new fence, which the server sees first, those are refused.
+        Grants sent by an earlier run may be executed late. The server refuses
+        them once it has seen a grant under a newer fence.
         """
         registry = self._registry
         registry.is_waiting = not await self._async_may_join()
         if registry.is_waiting:
             self._log.write('join-waits', epoch=registry.epochs.current)
             return self._pause_s()
-        committed = await self._commit(plan_outrank, JOIN_LIMIT_S)
+        committed = await self._commit(plan_new_fences, JOIN_LIMIT_S)
         if committed is CommitResult.NOT_WANTED:
             committed = await self._commit(_plan_renewal, JOIN_LIMIT_S)
         self._log.write(
@@ -60,11 +60,11 @@
         )
         return self._pause_after(committed)
 
-    async def async_carry_over(self) -> float:
-        """Join the store's new epoch with the lease of an earlier one."""
+    async def async_migrate_lease(self) -> float:
+        """Join the store's new epoch with a lease of an earlier one."""
         registry = self._registry
         left_s = registry.lease_until - self._clock.now()
-        committed = await self._commit(plan_carry_over, left_s)
+        committed = await self._commit(plan_lease_migration, left_s)
         self._log.write(
             'lease-carried-over',
             outcome=committed,
@@ -76,7 +76,7 @@
         return self._pause_after(committed)
 
     async def _async_may_join(self) -> bool:
-        """Tell whether no lease of an earlier epoch stands in the way."""
+        """Return whether no lease of an earlier epoch prevents joining."""
         registry = self._registry
         name = registry.member.name
         if registry.epochs.may_join(name):
@@ -86,9 +86,9 @@
         return registry.epochs.may_join(name)
 
     def _pause_s(self) -> float:
-        """Return the time until this run may join, or until another look.
+        """Return the time until this run may join or should check again.
 
-        All that wait then join at the same moment, and divide the keys.
+        All waiting runs then join at the same moment and divide the keys.
         """
         start = self._registry.rows.epoch_start
         now_s = self._registry.store_now()
--- a/plantaingrade/holds/lease.py
+++ b/plantaingrade/holds/lease.py
@@ -1,4 +1,4 @@
-"""The lease of one member, as its row in the store holds it."""
+"""The lease of one member, as stored in its row."""
 
 import json
 
@@ -12,14 +12,14 @@
 
 # Far above any reading of the store's clock, which counts from its start.
 MAX_STORE_S = 1e12
-# Digits of the number of a write: more than a process makes in its life.
+# Maximum digits of a write number; no process makes that many writes.
 MAX_NUMBER_DIGITS = 12
-# Witnesses that are read from a row.
+# Maximum number of witnesses read from a row.
 MAX_WITNESSES = 5
 
 
 class UnreadableLeaseError(PlantaingradeError):
-    """Report a row that holds no member."""
+    """Report a row that does not hold a valid member."""
 
     advice = 'Another program writes to the same table, or a newer version.'
 
@@ -28,11 +28,11 @@
     """A member and the end of its lease.
 
     ``until_s`` is a time of the store's clock, 0 for a member that holds no
-    keys; ``takes_keys`` is whether others may give it keys. ``write_id``
-    names the write, so that a writer whose answer was lost can tell its own
-    write from another's. ``version`` is the row's version. From
-    ``base_until_s`` on the member needs promises of its ``witnesses``; without
-    any both ends are the same.
+    keys; ``accepts_keys`` is whether others may assign keys to it. ``write_id``
+    names the write, so that a writer that got no answer can recognise its own
+    write. ``version`` is the row's version. From ``base_until_s`` on the member
+    needs promises of its ``witnesses``; without witnesses both ends are the
+    same.
     """
 
     member: Member
@@ -45,29 +45,29 @@
 
     @property
     def write_number(self) -> int:
-        """Return the number of the write in its run, 0 if it has none."""
+        """Return the number of the write within its run, 0 if it has none."""
         number = self.write_id.rpartition('.')[-1]
         is_number = number.isascii() and number.isdigit()
         return int(number[:MAX_NUMBER_DIGITS]) if is_number else 0
 
-    def as_of(self, latest_end_s: float) -> 'MemberRow':
-        """Return the row as it is to be used, given how long a lease can be.
+    def sanitized(self, latest_end_s: float) -> 'MemberRow':
+        """Return the row, excluded from new keys if its lease ends too late.
 
-        A lease of another writer may end in a far future, and nobody would take
-        its keys over.
+        A malformed row may hold a lease that ends in the far future. Nobody
+        would ever take over keys that such a member was given.
         """
         if self.until_s <= latest_end_s:
             return self
         return replace(self, accepts_keys=False)
 
 
-def unreadable_row(member: Member, version: int, until_s: float) -> MemberRow:
-    """Return what stands for a row that is there and cannot be read."""
+def placeholder_row(member: Member, version: int, until_s: float) -> MemberRow:
+    """Return a row in place of a stored one that cannot be read."""
     return MemberRow(member, until_s, '', accepts_keys=False, version=version)
 
 
 def encode_member_row(row: MemberRow) -> bytes:
-    """Return a row's body."""
+    """Return the encoded body of a row."""
     member = row.member
     fields = {
         'service': member.service,
@@ -85,10 +85,10 @@
 
 
 def decode_member_row(name: str, body: bytes, version: int) -> MemberRow:
-    """Return the member that a row holds.
+    """Return the member row decoded from a body.
 
     Raises:
-        UnreadableLeaseError: the bytes are no member.
+        UnreadableLeaseError: the body is not a valid member row.
     """
     try:
         fields = parse_object(body)
@@ -114,9 +114,7 @@
             witnesses,
         )
     except SchemaError as error:
-        raise UnreadableLeaseError(
-            f'Member row not understood: {error}'
-        ) from error
+        raise UnreadableLeaseError(f'Invalid member row: {error}') from error
 
 
 def _decode_witnesses(fields: Fields) -> tuple[Witness, ...]:
@@ -130,6 +128,6 @@
 
 def _decode_witness(pair: object) -> Witness:
     if not isinstance(pair, list) or len(pair) != 2:
-        raise SchemaError('A witness is not a pair.')
+        raise SchemaError('A witness is not a pair of name and boot.')
     fields = Fields({'name': pair[0], 'boot': pair[1]})
     return Witness(fields.text('name'), fields.text('boot'))
--- a/plantaingrade/holds/ledger.py
+++ b/plantaingrade/holds/ledger.py
@@ -1,4 +1,4 @@
-"""What was granted to the backend server, and how long it may last."""
+"""Grants that were sent to the backend server, and how long they may last."""
 
 from msgspec import Struct
 from msgspec.structs import replace
@@ -9,117 +9,118 @@
 
 
 class GrantRecord(Struct):
-    """Grants of one range under one fence, in readings of the boot clock.
+    """Grants of one range under one fence; times are local clock readings.
 
-    ``held_until`` is when the hold ends at the earliest, by confirmed grants.
-    ``ends_by`` is when every hold has ended at the latest. ``unsure_until``
-    is the same for grants without answer alone: the server may still carry
-    those out after it has released the range.
+    ``held_until`` is the earliest end of the hold, from confirmed grants.
+    ``ends_by`` is the latest time at which every hold has ended.
+    ``unconfirmed_until`` is the same for unanswered grants alone: the server
+    may still execute those after it has released the range.
     """
 
     keys: KeyRange
     fence: int
     held_until: float = 0.0
     ends_by: float = 0.0
-    unsure_until: float = 0.0
+    unconfirmed_until: float = 0.0
 
 
 class GrantLedger:
     """Grants to the server, by range.
 
-    Those to a life that is over stay until their holds would have ended. A
-    fence goes to one life only, so they make nothing look held; and whoever
-    gives keys away waits for them, rather than for word of a life's end.
+    Grants to an incarnation that has ended stay until their holds would have
+    ended. Since a fence is sent to one incarnation only, they don't make a
+    range look held. A transfer waits for the end of those holds instead of
+    relying on a report that the incarnation has ended.
     """
 
     __slots__ = ('_record_by_keys',)
 
     def __init__(self) -> None:
-        """Know no grants."""
+        """Start without grants."""
         self._record_by_keys: dict[KeyRange, GrantRecord] = {}
 
     def on_sent(self, grant: Grant, now: float) -> None:
-        """Note a grant before it is sent."""
-        record = self._record_of(grant)
+        """Record a grant that is about to be sent."""
+        record = self._get_or_create(grant)
         record.ends_by = max(record.ends_by, latest_end(grant, now))
 
     def on_confirmed(self, grant: Grant, sent_at: float) -> None:
-        """Note that a grant was carried out.
+        """Record that a grant was executed.
 
         The hold runs from the order's arrival, which is after it was sent.
         """
-        record = self._record_of(grant)
+        record = self._get_or_create(grant)
         record.held_until = max(record.held_until, sent_at + grant.hold_s)
 
     def on_unanswered(self, grant: Grant, sent_at: float) -> None:
-        """Note that a grant may still be carried out."""
-        record = self._record_of(grant)
+        """Record that a grant may still be executed."""
+        record = self._get_or_create(grant)
         ends = latest_end(grant, sent_at)
-        record.unsure_until = max(record.unsure_until, ends)
+        record.unconfirmed_until = max(record.unconfirmed_until, ends)
 
     def held_until(self, key: int, fence: int) -> float:
-        """Return when the hold on a key ends at the earliest."""
+        """Return the earliest time at which the hold on a key ends."""
         for record in self._record_by_keys.values():
             if key in record.keys and record.fence == fence:
                 return record.held_until
         return 0.0
 
     def is_confirmed(self, keys: KeyRange, fence: int) -> bool:
-        """Tell whether the server took exactly this grant once."""
+        """Return whether the server accepted a grant of exactly this range."""
         record = self._record_by_keys.get(keys)
         if record is None or record.fence != fence:
             return False
         return record.held_until > 0
 
     def ends_by(self, keys: KeyRange) -> float:
-        """Return when every hold on some of these keys ends at the latest."""
+        """Return the time by which all holds on any of these keys ended."""
         return max(
-            (record.ends_by for record in self._touching(keys)), default=0.0
+            (record.ends_by for record in self._overlapping(keys)), default=0.0
         )
 
-    def unsure_until(self, keys: KeyRange) -> float:
-        """Return when unanswered grants on these keys end at the latest."""
+    def unconfirmed_until(self, keys: KeyRange) -> float:
+        """Return the latest end of unanswered grants on these keys."""
         return max(
-            (record.unsure_until for record in self._touching(keys)),
+            (record.unconfirmed_until for record in self._overlapping(keys)),
             default=0.0,
         )
 
     def on_released(self, keys: KeyRange) -> None:
-        """Note that the server was told to let go of a range.
+        """Record that the server was ordered to release a range.
 
-        Nothing counts as held any more; what earlier grants may still do is
-        kept until the keys have passed on.
+        The range no longer counts as held. The possible effects of earlier
+        grants are kept until the keys have been transferred.
         """
-        for record in self._touching(keys):
-            taken = record.keys.overlap(keys)
-            self._cut(record, keys)
-            if taken is not None:
-                rest = replace(record, keys=taken, held_until=0.0)
-                self._record_by_keys[taken] = rest
+        for record in self._overlapping(keys):
+            released = record.keys.overlap(keys)
+            self._remove(record, keys)
+            if released is not None:
+                rest = replace(record, keys=released, held_until=0.0)
+                self._record_by_keys[released] = rest
 
     def forget(self, keys: KeyRange) -> None:
-        """Drop all that is known of a range, and keep the rest around it."""
-        for record in self._touching(keys):
-            self._cut(record, keys)
+        """Remove all records of a range, but not of the keys around it."""
+        for record in self._overlapping(keys):
+            self._remove(record, keys)
 
-    def _cut(self, record: GrantRecord, keys: KeyRange) -> None:
+    def _remove(self, record: GrantRecord, keys: KeyRange) -> None:
         self._record_by_keys.pop(record.keys)
         for rest in record.keys.without(keys):
             self._record_by_keys[rest] = replace(record, keys=rest)
 
-    def _touching(self, keys: KeyRange) -> list[GrantRecord]:
+    def _overlapping(self, keys: KeyRange) -> list[GrantRecord]:
         return [
             record
             for record in self._record_by_keys.values()
             if record.keys.overlap(keys)
         ]
 
-    def _record_of(self, grant: Grant) -> GrantRecord:
+    def _get_or_create(self, grant: Grant) -> GrantRecord:
         """Return the record of a range, in place of those it replaces.
 
-        A range may have been cut or joined since, and a later fence outranks
-        an earlier one on the same keys; what earlier grants may still do
-        passes on to the new record.
+        A range may have been split or merged since, and a later fence
+        supersedes an earlier one on the same keys. The possible effects of
+        earlier grants are carried into the new record.
         """
         record = self._record_by_keys.get(grant.keys)
         if record is not None and record.fence == grant.fence:
@@ -129,7 +130,7 @@
             grant.fence,
             self._held_under(grant),
             self.ends_by(grant.keys),
-            self.unsure_until(grant.keys),
+            self.unconfirmed_until(grant.keys),
         )
         self.forget(grant.keys)
         self._record_by_keys[grant.keys] = record
@@ -139,7 +140,7 @@
         """Return when holds of all these keys under this fence end."""
         held = 0
         ends = []
-        for known in self._touching(grant.keys):
+        for known in self._overlapping(grant.keys):
             overlap = known.keys.overlap(grant.keys)
             if overlap is not None and known.fence == grant.fence:
                 held += len(overlap)
@@ -148,9 +149,9 @@
 
 
 def latest_end(grant: Grant, sent_at: float) -> float:
-    """Return when a grant's hold has ended at the latest.
+    """Return the latest time at which a grant's hold has ended.
 
-    It runs from the order's arrival, by a clock that may be slow.
+    The hold runs from the order's arrival, by a server clock that may be slow.
     """
     lasts_s = grant.hold_s * CLOCK_RATE_MARGIN
     return sent_at + ARRIVAL_SLACK_S + lasts_s
--- a/plantaingrade/holds/orders.py
+++ b/plantaingrade/holds/orders.py
@@ -1,4 +1,4 @@
-"""What the product needs to order a backend server."""
+"""Interfaces for sending orders to a backend server."""
 
 from collections.abc import Callable
 from contextlib import AbstractAsyncContextManager
@@ -10,13 +10,13 @@
 
 
 class NoSessionError(PlantaingradeError):
-    """Report that a session with the server is over; nothing was sent."""
+    """Report that the session with the server is over; nothing was sent."""
 
-    advice = 'Open another session and take new fences.'
+    advice = 'Open another session and renew the fences.'
 
 
 class GrantTurn(Protocol):
-    """Use of the way to the server for one grant."""
+    """Exclusive use of one connection to the server for one grant."""
 
     async def async_grant(self, grant: Grant, limit_s: float) -> OrderOutcome:
         """Grant a range, or renew a grant."""
@@ -25,22 +25,22 @@
 class ServerOrders(Protocol):
     """Orders to the backend server beside this process.
 
-    A session is a way to one life of the server: what is sent within it
-    reaches that life or nobody.
+    A session reaches one incarnation of the server: whatever is sent within it
+    arrives there or nowhere.
     """
 
     @property
     def session(self) -> int:
-        """Return the number of the session in force, 0 if there is none."""
+        """Return the number of the current session, 0 if there is none."""
 
     def listen(self, on_over: Callable[[], None]) -> None:
-        """Have ``on_over`` called when a session is over."""
+        """Call ``on_over`` whenever a session ends."""
 
     async def async_open(self) -> bool:
-        """Open a session unless one is in force; tell whether there is one."""
+        """Open a session unless there is one; return whether there is one."""
 
     def turn(self, session: int) -> AbstractAsyncContextManager[GrantTurn]:
-        """Return the use of a session for one grant.
+        """Return a context that reserves a connection for one grant.
 
         Raises on entry:
             NoSessionError: the session is over, and nothing was sent.
@@ -49,10 +49,10 @@
     async def async_release(
         self, release: Release, limit_s: float
     ) -> OrderOutcome:
-        """Take a range back; wait until running work on it has ended."""
+        """Release a range; wait until running work on it has ended."""
 
     async def async_ask_presence(self, path: str) -> ServerPresence | None:
-        """Return what the server's present life says of itself, if it does."""
+        """Return what the current incarnation reports about itself."""
 
     def close(self) -> None:
         """End the session."""
--- a/plantaingrade/holds/own_rows.py
+++ b/plantaingrade/holds/own_rows.py
@@ -1,4 +1,4 @@
-"""Make the rows by which a member renews its lease. Pure."""
+"""Create the rows by which a member renews its lease. Pure."""
 
 from collections.abc import Callable
 from itertools import count
@@ -9,21 +9,21 @@
 from plantaingrade.peers.entity import Member
 
 
-class OwnRows:
-    """Rows of one run of a member, each with a number of its own."""
+class OwnRowFactory:
+    """Creates the rows of one run of a member, each with its own number."""
 
-    __slots__ = ('_choose_witnesses', '_member', '_named', '_numbers')
+    __slots__ = ('_choose_witnesses', '_member', '_witnesses', '_write_numbers')
 
     def __init__(
         self,
         member: Member,
         choose_witnesses: Callable[[], tuple[Witness, ...]],
     ) -> None:
-        """Begin to count."""
+        """Start the numbers at 1."""
         self._member = member
         self._choose_witnesses = choose_witnesses
-        self._named: tuple[Witness, ...] = ()
-        self._numbers = count(1)
+        self._witnesses: tuple[Witness, ...] = ()
+        self._write_numbers = count(1)
 
     def make(
         self,
@@ -31,21 +31,21 @@
         times: LeaseTimes,
         *,
         accepts_keys: bool,
-        has_open: bool,
+        has_pending: bool,
     ) -> MemberRow:
         """Return the next row, made at a time of the store's clock.
 
-        While a write may stand that is not known to, the witnesses stay: else
-        the promises of two sets would be needed.
+        While an unanswered write may still be applied, the witnesses stay the
+        same: otherwise promises of two sets of witnesses would be needed.
         """
-        if not has_open:
-            self._named = self._choose_witnesses()
-        base_s = times.base_s if self._named else times.full_s
+        if not has_pending:
+            self._witnesses = self._choose_witnesses()
+        base_s = times.base_s if self._witnesses else times.full_s
         return MemberRow(
             self._member,
             now_s + times.full_s,
-            f'{self._member.boot}.{next(self._numbers)}',
+            f'{self._member.boot}.{next(self._write_numbers)}',
             accepts_keys,
             base_until_s=now_s + base_s,
-            witnesses=self._named,
+            witnesses=self._witnesses,
         )
--- a/plantaingrade/holds/plans.py
+++ b/plantaingrade/holds/plans.py
@@ -1,14 +1,14 @@
-"""Pure plans of changes to a service's rows, made anew after a conflict."""
+"""Pure plans of changes to a service's rows, repeated after a conflict."""
 
 from collections import Counter
 from collections.abc import Collection
 
 from msgspec.structs import replace
 
-from plantaingrade.holds.carrying import plan_carry
 from plantaingrade.holds.changes import Change
 from plantaingrade.holds.const import TAKEOVER_MARGIN_S
 from plantaingrade.holds.lease import MemberRow
+from plantaingrade.holds.migration import plan_migration
 from plantaingrade.holds.registry import Registry
 from plantaingrade.keyspace.assign import reassign, split_evenly
 from plantaingrade.keyspace.entity import KeyMap, KeyRange
@@ -17,13 +17,13 @@
 MAX_REMOVED = 40
 
 
-def plan_outrank(
+def plan_new_fences(
     registry: Registry, moving: Collection[KeyRange] = ()
 ) -> Change | None:
-    """Give the keys of this member a fence above every earlier one.
+    """Give this member's keys a fence above all earlier ones.
 
-    Those that are ``moving`` keep their fences, under which they were released,
-    and get new ones with their new owner.
+    Ranges in ``moving`` keep the fence under which they were released; they get
+    a new one together with their new owner.
     """
     parts = [each.keys for each in registry.key_map.owned_by(_own(registry))]
     for moved in moving:
@@ -40,10 +40,10 @@
     return registry.member.name
 
 
-def plan_carry_over(registry: Registry) -> Change:
+def plan_lease_migration(registry: Registry) -> Change:
     """Join a new epoch of the store with a lease of an earlier one."""
     stored = registry.stored_map
-    change = plan_carry(registry.key_map, stored, registry.epochs.current)
+    change = plan_migration(registry.key_map, stored, registry.epochs.current)
     start = registry.epochs.missing_start()
     return replace(change, epoch_start=start)
 
@@ -60,28 +60,28 @@
 
 
 def plan_takeover(
-    registry: Registry, given_up: Collection[tuple[str, int]] = ()
+    registry: Registry, expired: Collection[tuple[str, int]] = ()
 ) -> Change | None:
-    """Spread the keys of members whose leases are over.
+    """Distribute the keys of members whose leases are over.
 
-    ``given_up`` holds names and row versions of members whose witnesses have
-    given them up.
+    ``expired`` holds names and row versions of members whose witnesses agreed
+    that their leases have expired early.
 
-    A member may come back between the reading of the rows and this change, so
-    rows that were not there must still not be there.
+    A member may return between the read of the rows and this change, so the
+    change requires that rows which were absent still are.
     """
-    over = [
+    expired_rows = [
         row
-        for row in doubtful_rows(registry)
-        if (row.member.name, row.version) in given_up
+        for row in suspect_rows(registry)
+        if (row.member.name, row.version) in expired
     ]
-    removed = tuple([*lapsed_rows(registry), *over][:MAX_REMOVED])
+    removed = tuple([*lapsed_rows(registry), *expired_rows][:MAX_REMOVED])
     absent = absent_owners(registry)[:MAX_REMOVED]
     lost = {row.member.name for row in removed} | set(absent)
     live = live_members(registry)
     if not lost or not live:
         return None
-    owner_by_keys = spread(registry.key_map, lost, live)
+    owner_by_keys = spread_keys(registry.key_map, lost, live)
     if not owner_by_keys:
         return Change(removed=removed) if removed else None
     key_map = reassign(registry.key_map, owner_by_keys, registry.epochs.current)
@@ -89,9 +89,9 @@
 
 
 def absent_owners(registry: Registry) -> list[str]:
-    """Return owners that have no row, and hold no lease.
+    """Return owners that have no row and therefore hold no lease.
 
-    In a new epoch an owner may not have carried its lease over yet.
+    In a new epoch an owner may still be about to migrate its lease.
     """
     if not registry.epochs.are_earlier_leases_over():
         return []
@@ -100,7 +100,7 @@
 
 
 def live_members(registry: Registry) -> list[str]:
-    """Return the members that have a lease and take keys."""
+    """Return the members that hold a lease and accept keys."""
     now_s = registry.store_now()
     if now_s is None:
         return []
@@ -116,25 +116,26 @@
 
 
 def lapsed_rows(registry: Registry) -> list[MemberRow]:
-    """Return the rows of members whose leases are over for certain.
+    """Return the rows of members whose leases are certainly over.
 
-    They are judged by the store's clock as it was when they were read, which
-    is earlier than now, and not by an estimate.
+    They are compared with the store's clock at the time of the read, which is
+    in the past, and not with an estimate of the present.
     """
     return [
         row
         for name, row in sorted(registry.rows.by_name.items())
         if name != registry.member.name
-        and row.until_s + TAKEOVER_MARGIN_S < registry.rows.read_now_s
+        and row.until_s + TAKEOVER_MARGIN_S < registry.rows.read_at_s
     ]
 
 
-def doubtful_rows(registry: Registry) -> list[MemberRow]:
-    """Return the rows of owners whose leases have passed the first end only.
+def suspect_rows(registry: Registry) -> list[MemberRow]:
+    """Return the rows of owners whose leases are past their base end only.
 
-    They hold their keys if a majority of their witnesses has promised it.
+    Such a member still holds its keys if a majority of its witnesses promised
+    so.
     """
-    now_s = registry.rows.read_now_s - TAKEOVER_MARGIN_S
+    now_s = registry.rows.read_at_s - TAKEOVER_MARGIN_S
     owners = registry.key_map.owners() - {registry.member.name}
     return [
         row
@@ -145,10 +146,10 @@
     ]
 
 
-def spread(
+def spread_keys(
     key_map: KeyMap, lost: set[str], live: list[str]
 ) -> dict[KeyRange, str]:
-    """Give each range of lost members to the live one with fewest keys."""
+    """Assign lost members' ranges to the live members with fewest keys."""
     keys_by_owner: Counter[str] = Counter({name: 0 for name in live})
     for assignment in key_map.assignments:
         keys_by_owner[assignment.owner] += len(assignment.keys)
--- a/plantaingrade/holds/promises.py
+++ b/plantaingrade/holds/promises.py
@@ -1,13 +1,13 @@
-"""What a witness promises about the leases of others. Pure.
+"""Decide what a witness agrees to about the leases of others. Pure.
 
-A lease has two ends. Until the first a member holds it by itself. Until the
-second it holds it only if a majority of its witnesses has promised not to help
-anybody who would take its keys over; and who would take them over before the
-second end needs a majority that gives the member up. Of two majorities of the
-same witnesses one member is in both, and it does one of the two only.
+A lease has two ends. Until the base end a member holds it by itself. Until the
+full end it holds it only if a majority of its witnesses has promised not to
+help anybody take over its keys; a takeover before the full end needs a majority
+that agrees to the expiry. Two majorities of the same witnesses have one in
+common, and a witness agrees to one of the two only.
 
-Keys of a lost instance wait for the first end only, and an outage in which the
-witnesses can be asked is outlasted until the second.
+So keys of a lost instance wait for the base end only, and a store outage during
+which the witnesses can be reached is outlasted until the full end.
 """
 
 from collections.abc import Collection
@@ -16,74 +16,82 @@
 
 from plantaingrade.holds.entity import ExpiryRequest, PromiseRequest, Witness
 
-# No promise is of use for longer than a lease, which is counted by several
-# clocks; what was said is kept for much longer than that.
-KEPT_S = 120.0
-# Members remembered at a time: far above the two-year size of 530.
-MAX_KEPT = 5_000
+# Records are kept for this long. No promise is of use for longer than a lease,
+# which several clocks measure; this is several times as long.
+RETENTION_S = 120.0
+# Maximum number of records; far above the expected size of 530 members.
+MAX_RECORDS = 5_000
 
 
 def is_majority(
     agreed: Collection[Witness], asked: Collection[Witness]
 ) -> bool:
-    """Tell whether more than half of the witnesses asked have agreed."""
+    """Return whether more than half of the witnesses asked have agreed."""
     return bool(asked) and 2 * len(set(agreed) & set(asked)) > len(set(asked))
 
 
-class Said(Struct):
-    """What was said of one run of a member, in numbers of its writes."""
+class WitnessRecord(Struct):
+    """What was agreed about one run of a member, up to which write numbers."""
 
     promised_to: int = 0
-    given_up_to: int = 0
+    expired_to: int = 0
     seen_at: float = 0.0
 
 
 class WitnessState(Struct):
-    """What one run of a process has promised, and whom it has given up.
+    """What one run of a process has promised, and which expiries it agreed to.
 
-    It is lost with the process: the next run has another ``boot`` and neither
-    promises nor gives up what was asked of this one.
+    It is lost with the process: the next run has another ``boot`` and answers
+    no requests that were addressed to this one.
     """
 
     boot: str
-    _said_by_run: dict[tuple[str, str], Said] = field(default_factory=dict)
+    _record_by_run: dict[tuple[str, str], WitnessRecord] = field(
+        default_factory=dict
+    )
 
-    def on_promise_request(self, asked: PromiseRequest, now: float) -> bool:
-        """Promise to keep a member's writes, unless one was given up.
+    def on_promise_request(self, request: PromiseRequest, now: float) -> bool:
+        """Promise to protect a member's writes, unless one has expired.
 
-        A write before ``first`` may have been given up: it no longer stands.
+        A write before ``first`` may have expired: it is no longer in the store.
         """
-        said = self._find(asked.name, asked.boot, asked.witness_boot, now)
-        if said is None or said.given_up_to >= asked.first:
+        record = self._find(
+            request.name, request.boot, request.witness_boot, now
+        )
+        if record is None or record.expired_to >= request.first:
             return False
-        said.promised_to = max(said.promised_to, asked.last)
+        record.promised_to = max(record.promised_to, request.last)
         return True
 
-    def on_expiry_request(self, asked: ExpiryRequest, now: float) -> bool:
-        """Give a member up whose row holds a write, unless it was promised."""
-        said = self._find(asked.name, asked.boot, asked.witness_boot, now)
-        if said is None or said.promised_to >= asked.number:
+    def on_expiry_request(self, request: ExpiryRequest, now: float) -> bool:
+        """Agree to the expiry of a member's write unless it was promised."""
+        record = self._find(
+            request.name, request.boot, request.witness_boot, now
+        )
+        if record is None or record.promised_to >= request.number:
             return False
-        said.given_up_to = max(said.given_up_to, asked.number)
+        record.expired_to = max(record.expired_to, request.number)
         return True
 
     def _find(
         self, name: str, boot: str, witness_boot: str, now: float
-    ) -> Said | None:
+    ) -> WitnessRecord | None:
         if witness_boot != self.boot:
             return None
-        said = self._said_by_run.get((name, boot))
-        if said is None:
+        record = self._record_by_run.get((name, boot))
+        if record is None:
             self._forget_old(now)
-            if len(self._said_by_run) >= MAX_KEPT:
+            if len(self._record_by_run) >= MAX_RECORDS:
                 return None
-            said = self._said_by_run.setdefault((name, boot), Said())
-        said.seen_at = now
-        return said
+            record = self._record_by_run.setdefault(
+                (name, boot), WitnessRecord()
+            )
+        record.seen_at = now
+        return record
 
     def _forget_old(self, now: float) -> None:
-        self._said_by_run = {
-            run: said
-            for run, said in self._said_by_run.items()
-            if now - said.seen_at <= KEPT_S
+        self._record_by_run = {
+            run: record
+            for run, record in self._record_by_run.items()
+            if now - record.seen_at <= RETENTION_S
         }
--- a/plantaingrade/holds/registry.py
+++ b/plantaingrade/holds/registry.py
@@ -1,8 +1,8 @@
 """This member's row and the key map in the store, changed together.
 
-Every change goes through one transaction that expects this member's own row
-as it wrote it last. Whoever takes this member's keys removes that row, so a
-member that was given up can change nothing any more.
+Every change is one transaction that expects this member's own row as it last
+wrote it. A takeover of this member's keys removes that row, so a member whose
+lease has expired can change nothing any more.
 
 Each epoch of the store has rows of its own; see ``holds.epoch_start``.
 """
@@ -15,19 +15,18 @@
 
 from plantaingrade.clock import Clock
 from plantaingrade.eventlog import EventLog
-from plantaingrade.holds.answers import StoreAnswers
+from plantaingrade.holds.availability import StoreAvailability
 from plantaingrade.holds.backoff import ConflictBackoff
-from plantaingrade.holds.carrying import given_away
 from plantaingrade.holds.changes import (
     RENEWAL,
-    Attempt,
     Change,
+    CommitAttempt,
     CommitResult,
     SentWrite,
 )
 from plantaingrade.holds.const import (
     LONGEST_LEASE_S,
-    LOST_GROWTH,
+    MAX_MEMBER_GROWTH,
     RETRY_S,
 )
 from plantaingrade.holds.epochs import MemberEpochs
@@ -35,9 +34,10 @@
     MemberRow,
     UnreadableLeaseError,
     decode_member_row,
-    unreadable_row,
+    placeholder_row,
 )
-from plantaingrade.holds.own_rows import OwnRows
+from plantaingrade.holds.migration import find_unconfirmed_transfers
+from plantaingrade.holds.own_rows import OwnRowFactory
 from plantaingrade.holds.rows import (
     KEY_MAP,
     KEY_MEMBER,
@@ -48,7 +48,7 @@
 from plantaingrade.holds.times import LeaseTimes, lease_times
 from plantaingrade.holds.transactions import (
     RowNames,
-    make_start,
+    make_epoch_start_write,
     make_transaction,
 )
 from plantaingrade.holds.witnesses import Witnesses
@@ -74,7 +74,7 @@
 Planner = Callable[['Registry'], Change | None]
 
 
-def _unsent(*, is_late: bool) -> CommitResult:
+def _result_unsent(*, is_late: bool) -> CommitResult:
     return CommitResult.FAILED if is_late else CommitResult.NOT_WANTED
 
 
@@ -86,27 +86,27 @@
 
 
 class Registry:
-    """Read and change the rows of one service."""
+    """Reads and changes the rows of one service."""
 
     __slots__ = (
         '_clock',
         '_log',
         '_maps',
-        '_own_rows',
+        '_own_row_factory',
         '_store',
         '_writing',
-        'answers',
-        'changed_from',
+        'accepts_keys',
+        'availability',
+        'backoff',
+        'change_base',
         'epochs',
-        'is_migrating',
         'is_joined',
+        'is_migrating',
         'is_waiting',
         'member',
-        'own',
+        'own_row',
         'rows',
-        'accepts_keys',
         'term',
-        'backoff',
     )
 
     def __init__(
@@ -120,12 +120,12 @@
         *,
         starts_with_all: bool = False,
     ) -> None:
-        """Know the member; read nothing yet.
+        """Prepare for one member; read nothing yet.
 
-        A process that ``starts_with_all`` does so when the whole system starts
-        for the first time.
+        With ``starts_with_all`` the process starts together with the whole
+        system, for the first time.
         """
-        # Whether the lease is one of an earlier epoch than the rows.
+        # Whether the lease dates from an earlier epoch than the rows.
         self.is_migrating = False
         self.term = LeaseTerm(store.clock)
         self._store = store
@@ -140,14 +140,14 @@
             clock,
             starts_with_all=starts_with_all,
         )
-        self._own_rows = OwnRows(member, witnesses.choose)
+        self._own_row_factory = OwnRowFactory(member, witnesses.choose)
         self._writing = asyncio.Lock()
         self.member = member
-        # The map that the last change done here was made from.
-        self.changed_from = NO_MAP
-        self.answers = StoreAnswers()
+        # The map from which the last committed change was made.
+        self.change_base = NO_MAP
+        self.availability = StoreAvailability()
         self.accepts_keys = True
-        self.own: MemberRow | None = None
+        self.own_row: MemberRow | None = None
         self.is_joined = False
         # Whether leases of an earlier epoch keep this run from joining.
         self.is_waiting = False
@@ -159,7 +159,7 @@
 
     @property
     def stored_map(self) -> KeyMap:
-        """Return the map as the store holds it, which may lack something."""
+        """Return the map as stored, which may lack transfers known here."""
         return self._maps.find_stored(self.member.service)
 
     @property
@@ -168,28 +168,28 @@
         return self.term.until
 
     def has_lease(self, now: float) -> bool:
-        """Tell whether this member may grant keys now."""
+        """Return whether this member may grant keys now."""
         return self.is_joined and now < self.lease_until
 
     def lease_times(self) -> LeaseTimes:
-        """Return the times of leases in a service of this size."""
+        """Return the lease timing for a service of this size."""
         known = max(len(self.rows.by_name), len(self.key_map.owners()))
         return lease_times(known)
 
-    def follow_epoch(self) -> None:
-        """Go by the rows of the store's newest epoch from now on.
+    def advance_epoch(self) -> None:
+        """Switch to the rows of the store's newest epoch, if there is one.
 
-        Those of the epoch before are gone, or older than what is known. A lease
-        runs on, to be carried over.
+        The rows of the epoch before are gone, or older than what is known. A
+        lease continues and is migrated later.
         """
         if not self.epochs.is_behind:
             return
         before = self.epochs.current
         self.epochs.advance(self.lease_times().full_s)
         self.is_migrating = self.is_joined
-        self.own = None
-        # Nothing can be changed before the lease has been carried over.
-        self.answers.on_change(self._clock.now(), is_answered=False)
+        self.own_row = None
+        # Nothing can be changed before the lease has been migrated.
+        self.availability.on_change(self._clock.now(), is_answered=False)
         self._log.write(
             'epoch-followed',
             epoch=self.epochs.current,
@@ -200,31 +200,31 @@
         )
 
     async def async_start_epoch(self) -> None:
-        """Write from when on members without a lease may join this epoch."""
+        """Store when members without a lease may join, unless it is stored."""
         if self.epochs.missing_start() is None:
             return
         lease_s = await self._async_earlier_lease_s()
         start = self.epochs.missing_start(lease_s)
-        if start is not None and self.rows.are_read:
-            transaction = make_start(self._names(), start)
+        if start is not None and self.rows.is_loaded:
+            transaction = make_epoch_start_write(self._names(), start)
             await self._store.async_commit(transaction)
 
     def store_now(self) -> float | None:
-        """Return about what the store's clock reads now."""
+        """Return an estimate of the store's clock, ``None`` if unknown."""
         return self._store.clock.estimate(self._clock.now())
 
     async def async_read(self) -> bool:
-        """Read the rows of the service; tell whether that worked."""
+        """Read the rows of the service; return whether that worked."""
         outcome = await self._async_read_rows()
         is_answered = isinstance(outcome, RangeRead)
-        self.answers.on_read(self._clock.now(), is_answered=is_answered)
+        self.availability.on_read(self._clock.now(), is_answered=is_answered)
         if not isinstance(outcome, RangeRead):
             self._log.write('store-read-failed', why=outcome.failure)
             return False
-        self.rows.take_all(outcome.rows, outcome.now_s)
+        self.rows.replace_all(outcome.rows, outcome.now_s)
         found = self.rows.by_name.get(self.member.name)
         if found is not None and not self.is_joined:
-            self.own = found
+            self.own_row = found
         return True
 
     async def async_commit(
@@ -233,104 +233,111 @@
         limit_s: float,
         *,
         joins: bool = False,
-        carries: bool = False,
-        crowded_limit_s: float | None = None,
+        migrates: bool = False,
+        contended_limit_s: float | None = None,
     ) -> CommitResult:
-        """Renew the own row, together with what the plan makes of the state.
-
-        Only a change that ``joins`` takes up a row of an earlier run; any
-        other ends when this run has lost its own. One that ``carries`` the
-        lease over comes first in a new epoch. ``crowded_limit_s`` holds
-        instead of ``limit_s`` while others' changes are all that is in the
-        way.
-
-        A transaction without an answer may be applied seconds later. It is
-        followed by renewals, however long that takes, until the own row has
-        changed: either it shows there by its write id, or its condition can
-        hold no more. Else two servers could hold the same keys.
+        """Renew the own row, together with the change planned for the state.
+
+        Only a change that ``joins`` adopts a row of an earlier run; any other
+        fails once this run has lost its own row. A change that ``migrates`` the
+        lease comes first in a new epoch. ``contended_limit_s`` replaces
+        ``limit_s`` as long as only changes of other members are in the way.
+
+        A transaction without an answer may be applied seconds later. Renewals
+        follow it, however long that takes, until the own row has changed: then
+        either its write id is in the row, or its condition can no longer hold.
+        Otherwise two servers could hold the same keys.
         """
         async with self._writing:
             if not joins and not self.is_joined:
                 return CommitResult.LOST
-            self.follow_epoch()
-            if self.is_migrating != carries:
+            self.advance_epoch()
+            if self.is_migrating != migrates:
                 return CommitResult.FAILED
-            if (joins or carries) and not self.rows.are_read:
+            if (joins or migrates) and not self.rows.is_loaded:
                 return CommitResult.FAILED
             if joins and not self.epochs.may_join(self.member.name):
                 return CommitResult.FAILED
             now = self._clock.now()
-            crowded_s = limit_s if crowded_limit_s is None else crowded_limit_s
-            attempt = Attempt(
-                self.epochs.current, now + limit_s, now + crowded_s
+            contended_s = (
+                limit_s if contended_limit_s is None else contended_limit_s
             )
-            return await self._commit(plan, attempt)
+            attempt = CommitAttempt(
+                self.epochs.current, now + limit_s, now + contended_s
+            )
+            return await self._async_attempt(plan, attempt)
 
     async def async_leave(self) -> None:
-        """Remove the own row, once no key is owned any more."""
+        """Remove the own row once no key is owned any more."""
         async with self._writing:
-            if self.own is None or self.key_map.owned_by(self.member.name):
+            if self.own_row is None or self.key_map.owned_by(self.member.name):
                 return
             name = self._names().member(self.member.name)
-            expected = (Expected(name, self.own.version),)
+            expected = (Expected(name, self.own_row.version),)
             self.is_joined = False
-            self.own = None
+            self.own_row = None
             await self._store.async_commit(
                 Transaction(
                     expected, deletes=(name,), epoch=self.epochs.current
                 )
             )
 
-    async def _commit(self, plan: Planner, attempt: Attempt) -> CommitResult:
-        ended = None
-        while ended is None:
+    async def _async_attempt(
+        self, plan: Planner, attempt: CommitAttempt
+    ) -> CommitResult:
+        commit_result = None
+        while commit_result is None:
             now = self._clock.now()
             if self._store.epochs.newest != attempt.epoch:
-                return self._end_epoch(attempt.sent_by_id)
+                return self._abandon_attempt(attempt.sent_by_id)
             if self.is_migrating and not self.has_lease(now):
-                return self._lose('lease over in an earlier epoch')
+                return self._lose_lease(
+                    'lease of an earlier epoch ended before migration'
+                )
             is_late = now > attempt.ends
             change = None if is_late else plan(self)
             if change is None and not attempt.sent_by_id:
-                return _unsent(is_late=is_late)
-            ended = await self._async_send(self._write(change), attempt)
-        return ended
+                return _result_unsent(is_late=is_late)
+            commit_result = await self._async_send(
+                self._make_write(change), attempt
+            )
+        return commit_result
 
-    def _write(self, change: Change | None) -> SentWrite:
-        """Return what to send; without a change, a barrier."""
-        row = self._own_rows.make(
+    def _make_write(self, change: Change | None) -> SentWrite:
+        """Return the write to send; without a change, a barrier."""
+        row = self._own_row_factory.make(
             self.store_now() or 0.0,
             self.lease_times(),
             accepts_keys=self.accepts_keys,
-            has_open=self.term.has_open,
+            has_pending=self.term.has_pending,
         )
         return SentWrite(
             row, change or RENEWAL, change is None, self.stored_map
         )
 
     async def _async_send(
-        self, write: SentWrite, attempt: Attempt
+        self, write: SentWrite, attempt: CommitAttempt
     ) -> CommitResult | None:
-        """Send one transaction; return nothing if another must be sent."""
+        """Send one transaction; return ``None`` if another must follow."""
         sent_at = self._clock.now()
         self.term.on_sent(write.row)
-        is_map_there = self.key_map.epoch == self.epochs.current
+        is_map_current = self.key_map.epoch == self.epochs.current
         transaction = make_transaction(
             self._names(),
             write,
-            self.own.version if self.own else 0,
-            self.key_map.version if is_map_there else 0,
+            self.own_row.version if self.own_row else 0,
+            self.key_map.version if is_map_current else 0,
         )
         outcome = await self._store.async_commit(transaction)
-        ended = self._take_outcome(write, outcome, attempt.sent_by_id)
-        if ended is not None:
-            return ended
+        commit_result = self._apply_outcome(write, outcome, attempt.sent_by_id)
+        if commit_result is not None:
+            return commit_result
         if isinstance(outcome, EpochEnded):
             return None
         if isinstance(outcome, Conflict):
-            await self._async_give_way(write, attempt, sent_at)
+            await self._async_back_off(write, attempt, sent_at)
             return None
-        attempt.is_undisturbed = False
+        attempt.has_only_conflicts = False
         self._log.write(
             'store-write-open',
             why=str(outcome),
@@ -339,64 +346,71 @@
         await asyncio.sleep(RETRY_S)
         return None
 
-    async def _async_give_way(
-        self, write: SentWrite, attempt: Attempt, sent_at: float
+    async def _async_back_off(
+        self, write: SentWrite, attempt: CommitAttempt, sent_at: float
     ) -> None:
-        """Let others change the map before this member tries once more."""
+        """Wait after a conflict, so that other members can change the map."""
         if write.change.key_map is None:
             return
         now = self._clock.now()
         pause_s = self.backoff.on_conflict(now - sent_at)
         await asyncio.sleep(max(0.0, min(pause_s, attempt.ends - now)))
 
-    def _take_outcome(
+    def _apply_outcome(
         self,
         write: SentWrite,
         outcome: TransactionOutcome,
         sent_by_id: dict[str, SentWrite],
     ) -> CommitResult | None:
-        """Act on an outcome; tell whether that ends the attempt."""
+        """Apply an outcome; return a result if it ends the attempt."""
         is_answered = isinstance(outcome, Committed | Conflict)
-        self.answers.on_change(self._clock.now(), is_answered=is_answered)
+        self.availability.on_change(self._clock.now(), is_answered=is_answered)
         match outcome:
             case Committed(version=version):
                 self._on_committed(write, version)
                 sent_by_id.clear()
-                return write.ending
+                return write.final_result
             case Conflict():
-                self.term.on_refused(write.row)
+                self.term.on_not_applied(write.row)
                 return self._on_conflict(outcome, sent_by_id)
             case OutcomeUnknown():
                 sent_by_id[write.row.write_id] = write
             case EpochEnded():
-                self.term.on_refused(write.row)
+                self.term.on_not_applied(write.row)
                 sent_by_id[write.row.write_id] = write
             case NotDone(failure=failure):
-                self.term.on_refused(write.row)
+                self.term.on_not_applied(write.row)
                 if failure is StoreFailure.REFUSED:
                     self._log.write('store-refused', write=write.row.write_id)
         return None
 
-    def _end_epoch(self, sent_by_id: dict[str, SentWrite]) -> CommitResult:
+    def _abandon_attempt(
+        self, sent_by_id: dict[str, SentWrite]
+    ) -> CommitResult:
         """End an attempt whose epoch of the store is over.
 
-        What it may have given away is counted as given: it rests until its
-        receiver or nobody claims it.
+        What it may have transferred counts as transferred: these ranges stay
+        unserved until their receiver claims them, or until it is certain that
+        nobody does.
         """
-        given = given_away(self.key_map, self.member.name, sent_by_id.values())
-        if given:
-            fence = max(self.key_map.fence, *(each.fence for each in given))
-            self._maps.suppose(self.member.service, given, fence)
-        self.follow_epoch()
+        transferred = find_unconfirmed_transfers(
+            self.key_map, self.member.name, sent_by_id.values()
+        )
+        if transferred:
+            fence = max(
+                self.key_map.fence, *(each.fence for each in transferred)
+            )
+            self._maps.suppose(self.member.service, transferred, fence)
+        self.advance_epoch()
         return CommitResult.FAILED
 
     def _names(self) -> RowNames:
         return RowNames(self.member.service, self.epochs.current)
 
     async def _async_earlier_lease_s(self) -> float:
-        """Return how long leases of the epoch before were at most.
+        """Return the longest lease of the epoch before, in seconds.
 
-        Its rows show how many members there were when they were copied.
+        The rows of that epoch show how many members the snapshot contained.
         """
         if self.epochs.is_base:
             return 0.0
@@ -406,12 +420,12 @@
         members = sum(row.name.key.startswith(KEY_MEMBER) for row in rows)
         if not members:
             return LONGEST_LEASE_S
-        return lease_times(LOST_GROWTH * members).full_s
+        return lease_times(MAX_MEMBER_GROWTH * members).full_s
 
     async def _async_read_rows(self) -> ReadOutcome:
-        """Read the rows of the newest epoch, as the answer itself tells it."""
+        """Read the rows of the newest epoch, as given in the response."""
         while True:
-            self.follow_epoch()
+            self.advance_epoch()
             names = self._names()
             outcome = await self._store.async_read(TABLE, names.part)
             is_read = isinstance(outcome, RangeRead)
@@ -420,14 +434,14 @@
 
     def _on_committed(self, write: SentWrite, version: int) -> None:
         row, change = write.row, write.change
-        self.own = replace(row, version=version)
-        self.rows.by_name[self.member.name] = self.own
+        self.own_row = replace(row, version=version)
+        self.rows.by_name[self.member.name] = self.own_row
         if write.is_barrier and not self.is_joined:
             # Only the change itself joins: a renewal would let this run grant
             # keys under the fences of the run before.
-            self.term.on_none_open()
+            self.term.on_none_pending()
             return
-        self.term.on_standing(row)
+        self.term.on_applied(row)
         if not self.is_joined:
             self.epochs.on_joined()
         self.is_joined = True
@@ -436,7 +450,7 @@
             self.rows.by_name.pop(lapsed.member.name, None)
         if change.key_map is not None:
             self.backoff.on_success()
-            self.changed_from = write.base
+            self.change_base = write.base
             key_map = change.key_map.at_version(version)
             self._maps.offer(self.member.service, key_map)
 
@@ -445,7 +459,7 @@
         conflict: Conflict,
         sent_by_id: dict[str, SentWrite],
     ) -> CommitResult | None:
-        """Take the rows as they stand; tell whether that ends the attempt."""
+        """Apply the conflicting rows; return a result if the attempt ends."""
         own_name = self._names().member(self.member.name)
         found = None
         is_blocked = False
@@ -453,50 +467,52 @@
             if row.name == own_name and row.version and not row.is_deleted:
                 found = row
                 continue
-            is_read = self.rows.take(row, conflict.now_s)
-            # A member's row that cannot be read is passed over from now on.
+            is_read = self.rows.apply(row, conflict.now_s)
+            # From now on a member's row that cannot be read is ignored.
             is_blocked |= row.name.key == KEY_MAP and not is_read
-        ended = self._on_own_row(found, sent_by_id)
-        if ended is None and is_blocked and not sent_by_id:
-            # Else transactions that fail follow each other without a pause.
+        commit_result = self._on_own_row(found, sent_by_id)
+        if commit_result is None and is_blocked and not sent_by_id:
+            # Otherwise failing transactions would follow each other without a
+            # pause.
             self._log.write('commit-blocked', map_version=self.key_map.version)
             return CommitResult.FAILED
-        return ended
+        return commit_result
 
     def _on_own_row(
         self, found: Row | None, sent_by_id: dict[str, SentWrite]
     ) -> CommitResult | None:
-        """Act on the own row as it stands; tell if that ends the attempt."""
-        if found is None and self.own is None:
-            # It was not there before either, so something else conflicted.
+        """Apply the own row as stored; return a result if the attempt ends."""
+        if found is None and self.own_row is None:
+            # It was missing before as well, so the conflict is with another
+            # row.
             return None
         if found is None:
-            return self._lose('own row removed')
+            return self._lose_lease('own row removed')
         own = _decode_own(found, self.member.name)
         if own is None:
-            self.rows.unreadable.note(found, 'Own row.')
+            self.rows.unreadable.note(found, 'Own row unreadable.')
         if own is None and self.is_joined:
-            return self._lose('own row unreadable')
+            return self._lose_lease('own row unreadable')
         if own is None:
-            # Nothing sent before it was written can be applied any more.
+            # Nothing sent before this row was written can be applied any more.
             sent_by_id.clear()
-            self.term.on_none_open()
-            self.own = unreadable_row(self.member, found.version, 0)
+            self.term.on_none_pending()
+            self.own_row = placeholder_row(self.member, found.version, 0)
             return None
         earlier = sent_by_id.get(own.write_id)
         if earlier is not None:
             self._on_committed(earlier, found.version)
-            # Every other write expects a version that is past.
+            # Every other write expects a version that is no longer current.
             sent_by_id.clear()
-            return earlier.ending
+            return earlier.final_result
         if own.member.boot != self.member.boot and self.is_joined:
-            return self._lose('own row taken by another run')
-        self.own = own
+            return self._lose_lease('own row written by another run')
+        self.own_row = own
         return None
 
-    def _lose(self, why: str) -> CommitResult:
+    def _lose_lease(self, why: str) -> CommitResult:
         self._log.write('lease-lost', why=why, until=self.lease_until)
-        self.own = None
+        self.own_row = None
         self.is_joined = False
         self.is_migrating = False
         self.term.on_lost()
--- a/plantaingrade/holds/rows.py
+++ b/plantaingrade/holds/rows.py
@@ -1,9 +1,9 @@
-"""The rows of one service, as they were last read in the store."""
+"""The rows of one service, as last read from the store."""
 
 from collections.abc import Iterable
 
 from plantaingrade.eventlog import EventLog
-from plantaingrade.holds.const import UNREADABLE_S
+from plantaingrade.holds.const import MAX_LEASE_LEFT_S
 from plantaingrade.holds.epoch_start import (
     UNKNOWN_S,
     EpochStart,
@@ -13,7 +13,7 @@
     MemberRow,
     UnreadableLeaseError,
     decode_member_row,
-    unreadable_row,
+    placeholder_row,
 )
 from plantaingrade.keyspace.codec import UnreadableMapError, decode_map
 from plantaingrade.keyspace.directory import KeyMaps
@@ -30,14 +30,14 @@
 def part_of(service: str, epoch: int) -> str:
     """Return the part of a service's rows in an epoch of the store.
 
-    What was sent in an earlier epoch and is applied late then changes rows that
-    nobody goes by any more.
+    So a write that was sent in an earlier epoch and applied late changes only
+    rows that nobody uses any more.
     """
     return f'{service}#{epoch}' if epoch else service
 
 
 def map_row(service: str, epoch: int = 0) -> RowName:
-    """Return the name of a service's map."""
+    """Return the name of the row with a service's map."""
     return RowName(TABLE, part_of(service, epoch), KEY_MAP)
 
 
@@ -52,70 +52,70 @@
 
 
 class MemberRows:
-    """Rows of members by name; the map goes to the maps of all services."""
+    """Rows of members by name; the map is forwarded to ``KeyMaps``."""
 
     __slots__ = (
         '_maps',
         '_member',
         'by_name',
         'epoch_start',
-        'read_now_s',
+        'read_at_s',
         'unreadable',
     )
 
     def __init__(self, member: Member, maps: KeyMaps, log: EventLog) -> None:
-        """Read on behalf of a member; know no rows yet."""
+        """Read on behalf of a member; start without rows."""
         self._member = member
         self._maps = maps
         self.unreadable = UnreadableRows(log)
         self.by_name: dict[str, MemberRow] = {}
         self.epoch_start: EpochStart | None = None
-        # The store's clock at the last read: a moment that has passed.
-        self.read_now_s = 0.0
+        # The store's clock at the last read.
+        self.read_at_s = 0.0
 
-    def take_all(self, rows: Iterable[Row], now_s: float) -> None:
-        """Keep what all rows of the service say, and nothing else."""
-        self.read_now_s = now_s
+    def replace_all(self, rows: Iterable[Row], now_s: float) -> None:
+        """Replace all that is known by the rows of a complete read."""
+        self.read_at_s = now_s
         known = self.by_name
         self.by_name = {}
         self.epoch_start = None
         for row in rows:
-            self._take(row, known, now_s)
+            self._apply(row, known, now_s)
 
     @property
-    def are_read(self) -> bool:
-        """Tell whether the rows of the present epoch have been read."""
-        return self.read_now_s > 0
+    def is_loaded(self) -> bool:
+        """Return whether the rows of the current epoch have been read."""
+        return self.read_at_s > 0
 
-    def forget(self) -> None:
-        """Drop all rows: they are of an epoch that is over."""
+    def clear(self) -> None:
+        """Remove all rows: they belong to an epoch that is over."""
         self.by_name = {}
         self.epoch_start = None
-        self.read_now_s = 0.0
+        self.read_at_s = 0.0
 
-    def take(self, row: Row, now_s: float) -> bool:
-        """Keep what a row says; tell whether it could be read."""
-        return self._take(row, self.by_name, now_s)
+    def apply(self, row: Row, now_s: float) -> bool:
+        """Apply one row; return whether it could be read."""
+        return self._apply(row, self.by_name, now_s)
 
-    def _take(
+    def _apply(
         self, row: Row, known: dict[str, MemberRow], now_s: float
     ) -> bool:
-        """Keep what a row says; tell whether it could be read.
+        """Apply one row; return whether it could be read.
 
-        A row that cannot be read takes nothing from what others say. A member
-        with such a row is not absent, and its lease may still run.
+        An unreadable row doesn't affect the others. A member with such a row is
+        not absent, and its lease may still run.
         """
         try:
-            self._keep(row, now_s)
+            self._apply_readable(row, now_s)
         except (UnreadableMapError, UnreadableLeaseError) as error:
             self.unreadable.note(row, str(error))
-            self._keep_unreadable(row, known, now_s)
+            self._apply_unreadable(row, known, now_s)
             return False
         return True
 
-    def _keep(self, row: Row, now_s: float) -> None:
+    def _apply_readable(self, row: Row, now_s: float) -> None:
         if row.name.key == KEY_MAP:
-            self._keep_map(row)
+            self._apply_map(row)
             return
         if row.name.key == KEY_EPOCH_START:
             self.epoch_start = decode_epoch_start(row.body, row.version)
@@ -129,25 +129,25 @@
         found = decode_member_row(name, row.body, row.version)
         if found.member.service != self._member.service:
             raise UnreadableLeaseError('The row names another service.')
-        self.by_name[name] = found.as_of(now_s + UNREADABLE_S)
+        self.by_name[name] = found.sanitized(now_s + MAX_LEASE_LEFT_S)
 
-    def _keep_map(self, row: Row) -> None:
-        """Offer a map if it is newer.
+    def _apply_map(self, row: Row) -> None:
+        """Offer a map if it is newer than the known one.
 
-        To decode one of 1,200 ranges takes 6 ms (thread time, one core).
+        Decoding a map of 1,200 ranges takes 6 ms of processor time.
         """
         service = self._member.service
         if row.version > self._maps.find(service).version:
             self._maps.offer(service, decode_map(row.body, row.version))
 
-    def _keep_unreadable(
+    def _apply_unreadable(
         self, row: Row, known: dict[str, MemberRow], now_s: float
     ) -> None:
-        """Keep that a member has a row, if that matters to somebody.
+        """Record that a member has a row, if it is this one or owns keys.
 
-        A member that lives writes its row again within a renewal, so one that
-        stays unreadable for longer than any lease is over. Its keys are taken
-        over, and it stands in the way of no other takeover.
+        A live member rewrites its row within one renewal, so the lease of a
+        member whose row stays unreadable for longer than any lease is over. Its
+        keys are then taken over, and it doesn't block other takeovers.
         """
         if row.name.key == KEY_EPOCH_START:
             self.epoch_start = EpochStart(UNKNOWN_S, row.version)
@@ -161,6 +161,6 @@
         before = known.get(name)
         if before is None or before.version != row.version:
             member = Member(name, service, '', '', '')
-            until_s = now_s + UNREADABLE_S
-            before = unreadable_row(member, row.version, until_s)
+            until_s = now_s + MAX_LEASE_LEFT_S
+            before = placeholder_row(member, row.version, until_s)
         self.by_name[name] = before
--- a/plantaingrade/holds/opening.py
+++ b/plantaingrade/holds/session_opener.py
@@ -1,4 +1,4 @@
-"""Have a session with the server beside this process."""
+"""Open sessions with the backend server beside this process."""
 
 from plantaingrade.clock import Clock
 from plantaingrade.eventlog import EventLog
@@ -11,9 +11,9 @@
 
 
 class SessionOpener:
-    """Open sessions, ever more rarely while none of them is of use.
+    """Opens sessions, with growing pauses until an order is answered.
 
-    Each attempt costs processor time, and each session a change of fences.
+    Each attempt costs processor time, and each session needs new fences.
     """
 
     __slots__ = (
@@ -28,8 +28,8 @@
     def __init__(
         self, orders: ServerOrders, clock: Clock, log: EventLog
     ) -> None:
-        """Open nothing yet."""
-        # Whether the server was not reached when it was tried last.
+        """Start without a session."""
+        # Whether the last attempt to reach the server failed.
         self.has_failed = False
         self._orders = orders
         self._clock = clock
@@ -39,14 +39,14 @@
 
     @property
     def pause_s(self) -> float:
-        """Return the time until grants should be looked at again."""
+        """Return the time until grants should be checked again."""
         if self._orders.session:
             return GRANT_PERIOD_S
         left_s = self._next_at - self._clock.now()
         return min(GRANT_PERIOD_S, max(MIN_OPEN_PAUSE_S, left_s))
 
     async def async_open(self) -> None:
-        """Have a session with the server, if it can be reached."""
+        """Open a session with the server if there is none and a try is due."""
         now = self._clock.now()
         if self._orders.session or now < self._next_at:
             return
@@ -58,10 +58,10 @@
             self._log.write('server-session', number=self._orders.session)
 
     def on_answer(self) -> None:
-        """Note that the server has answered an order."""
+        """Reset the pause: the server has answered an order."""
         self._pause_s = MIN_OPEN_PAUSE_S
 
     def on_new_incarnation(self) -> None:
-        """Try at once: a life of the server has told of itself."""
+        """Try at once: a new incarnation of the server was reported."""
         self._next_at = 0.0
         self._pause_s = MIN_OPEN_PAUSE_S
--- a/plantaingrade/holds/times.py
+++ b/plantaingrade/holds/times.py
@@ -1,23 +1,24 @@
 """How often leases of a service are renewed, and when they end. Pure.
 
-Load that answers: each renewal takes a turn in the store's part of the
-service, which has 150 a second for renewals and changes of the map together,
-and each call has its price. Renewed each 3 s, 148 members take a third of the
-turns, and 400 would take nearly all. So members of large services renew more
-rarely. The price is that keys of a lost instance wait longer by the pause,
-which are the fewer the larger the service.
+Load: each renewal needs a turn in the service's part of the store, which
+handles 150 a second for renewals and map changes together, and each call has
+its price. With a renewal every 3 s, 148 members use a third of these turns, and
+400 would use nearly all. So members of large services renew less often. In
+return, keys of a lost instance stay unserved longer by that period; in a larger
+service an instance has fewer keys.
 """
 
 from msgspec import Struct
 
 from plantaingrade.holds.const import (
+    BASE_GRACE_S,
     MAX_RENEW_S,
     OUTAGE_S,
     RENEW_S,
-    SPARE_S,
 )
 
-# Renewals of all members of a service together: a sixth of the part's turns.
+# Renewal rate of all members of a service together: a sixth of the part's
+# turns.
 RENEWALS_PER_S = 25.0
 
 
@@ -30,6 +31,6 @@
 
 
 def lease_times(members: int) -> LeaseTimes:
-    """Return the times for a service with so many members."""
+    """Return the lease timing for a service with ``members`` members."""
     renew_s = min(MAX_RENEW_S, max(RENEW_S, members / RENEWALS_PER_S))
-    return LeaseTimes(renew_s, renew_s + SPARE_S, renew_s + OUTAGE_S)
+    return LeaseTimes(renew_s, renew_s + BASE_GRACE_S, renew_s + OUTAGE_S)
--- a/plantaingrade/holds/transactions.py
+++ b/plantaingrade/holds/transactions.py
@@ -1,4 +1,4 @@
-"""Make the transaction that changes a service's rows. Pure."""
+"""Build the transactions that change a service's rows. Pure."""
 
 from msgspec import Struct
 
@@ -23,7 +23,7 @@
 
     @property
     def part(self) -> str:
-        """Return the part of the table in which they are."""
+        """Return the part of the table that holds the rows."""
         return part_of(self.service, self.epoch)
 
     def member(self, name: str) -> RowName:
@@ -34,9 +34,9 @@
 def make_transaction(
     names: RowNames, write: SentWrite, own_version: int, map_version: int
 ) -> Transaction:
-    """Return a write under the versions that its rows must have.
+    """Return a write on condition of the versions that its rows must have.
 
-    A version of 0 stands for a row that must not be there.
+    Version 0 means that the row must not exist.
     """
     change = write.change
     own = names.member(write.row.member.name)
@@ -48,7 +48,7 @@
     if change.key_map is not None:
         puts.append(Put(map_name, encode_map(change.key_map)))
     if change.epoch_start is not None:
-        start = make_start(names, change.epoch_start)
+        start = make_epoch_start_write(names, change.epoch_start)
         expected.extend(start.expected)
         puts.extend(start.puts)
     removed = [
@@ -64,8 +64,8 @@
     )
 
 
-def make_start(names: RowNames, start: EpochStart) -> Transaction:
-    """Return the write of the row about an epoch's start."""
+def make_epoch_start_write(names: RowNames, start: EpochStart) -> Transaction:
+    """Return the write of an epoch's start row."""
     name = epoch_start_row(names.service, names.epoch)
     return Transaction(
         (Expected(name, start.version),),
--- a/plantaingrade/holds/transfer.py
+++ b/plantaingrade/holds/transfer.py
@@ -1,4 +1,4 @@
-"""Pass ranges of keys on to other members."""
+"""Transfer ranges of keys to other members."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,26 +9,31 @@
 from plantaingrade.eventlog import EventLog
 from plantaingrade.holds.changes import CommitResult
 from plantaingrade.holds.granter import Granter
-from plantaingrade.holds.passing import Passage, has_passed, plan_passages
+from plantaingrade.holds.joint_transfers import (
+    RangeTransfer,
+    is_transferred,
+    plan_transfers,
+)
 from plantaingrade.holds.registry import Registry
 from plantaingrade.keyspace.entity import Assignment, KeyMap, KeyRange
 from plantaingrade.peers.courier import Courier
 from plantaingrade.peers.entity import Token
 
-# Time for the change in the store; the range is served by nobody meanwhile.
+# Time limit of the change in the store; nobody serves the range meanwhile.
 MOVE_LIMIT_S = 2.0
-# The same while the changes of others are all that is in the way, and the keys
-# could as well stay: requests wait for keys on the move no longer than this.
+# The same if only changes of other members are in the way and the keys could as
+# well stay: requests for keys that are being transferred wait no longer than
+# this.
 CONTENDED_LIMIT_S = 0.4
 
 
-class Ready(Struct, eq=False):
-    """A passage whose keys have been released, and what came of it.
+class ReadyTransfer(Struct, eq=False):
+    """A transfer whose keys have been released, and its outcome.
 
     ``before`` and ``after`` are the maps around its change.
     """
 
-    passage: Passage
+    transfer: RangeTransfer
     released_at: float
     outcome: CommitResult | None = None
     before: KeyMap | None = None
@@ -36,22 +41,22 @@
 
 
 class Transfers:
-    """Release, commit, tell: in this order, whatever fails on the way.
+    """Runs transfers: release, commit, notify, always in this order.
 
-    What has been released while another change was under way is passed on by
-    one change: several moves then wait for the row of the map once.
+    Transfers that become ready while another change is in flight are committed
+    together, so that several of them wait for the map's row only once.
     """
 
     __slots__ = (
         '_clock',
         '_committing',
-        '_courier',
         '_granter',
         '_log',
         '_moves',
         '_on_ended',
         '_ready',
         '_registry',
+        '_relay',
     )
 
     def __init__(
@@ -60,67 +65,70 @@
         granter: Granter,
         clock: Clock,
         log: EventLog,
-        courier: Courier,
+        relay: Courier,
         on_ended: Callable[[], None],
     ) -> None:
-        """Pass on what one member owns; ``on_ended`` is called after each."""
+        """Transfer one member's keys; call ``on_ended`` after each transfer."""
         self._registry = registry
         self._granter = granter
         self._clock = clock
         self._log = log
-        self._courier = courier
+        self._relay = relay
         self._on_ended = on_ended
         self._moves: set[asyncio.Task[bool]] = set()
         self._committing = asyncio.Lock()
-        self._ready: list[Ready] = []
+        self._ready: list[ReadyTransfer] = []
 
     async def async_transfer(self, keys: list[KeyRange], target: str) -> bool:
-        """Pass ranges to another member; tell whether they have passed.
+        """Transfer ranges to another member; return whether that worked.
 
-        A move that has begun goes on without whoever asked for it: its change
-        may be applied yet, and the ranges must not be granted here again.
+        A transfer that has begun continues if its caller is cancelled: its
+        change may still be applied, and the ranges must not be granted here
+        again.
         """
         loop = asyncio.get_running_loop()
-        move = loop.create_task(self._async_give(keys, target))
+        move = loop.create_task(self._async_transfer(keys, target))
         self._moves.add(move)
         move.add_done_callback(self._moves.discard)
         return await asyncio.shield(move)
 
     def stop(self) -> None:
-        """Cancel every move, as the process ends."""
+        """Cancel all transfers, as the process ends."""
         for move in self._moves:
             move.cancel()
 
-    async def _async_give(self, keys: list[KeyRange], target: str) -> bool:
-        """Pass ranges to another member; tell whether they have passed.
+    async def _async_transfer(self, keys: list[KeyRange], target: str) -> bool:
+        """Transfer ranges to another member; return whether that worked.
 
-        Ranges that are being passed on already are left to that transfer.
+        Fails if one of the ranges is already being transferred.
 
-        Nothing is released while the store is away: nobody would serve the keys
-        until it is back.
+        Nothing is released while the store is unavailable: nobody would serve
+        the keys until it is back.
         """
-        if not self._registry.answers.are_coming:
+        if not self._registry.availability.is_available:
             return False
         moving = self._granter.moving
         if any(each.overlap(other) for each in keys for other in moving):
             return False
         moving.update(keys)
         try:
-            return await self._async_pass(keys, target)
+            return await self._async_release_and_commit(keys, target)
         finally:
             moving.difference_update(keys)
             self._on_ended()
 
-    async def _async_pass(self, keys: list[KeyRange], target: str) -> bool:
+    async def _async_release_and_commit(
+        self, keys: list[KeyRange], target: str
+    ) -> bool:
         for each in keys:
-            await self._granter.async_settle(each)
+            await self._granter.async_wait_for_grants(each)
         pieces = [piece for each in keys for piece in self._owned_within(each)]
         if not pieces:
             return False
         tokens = await asyncio.gather(
-            *(self._async_free(piece) for piece in pieces)
+            *(self._async_release(piece) for piece in pieces)
         )
-        ready = await self._async_commit(Passage(tuple(pieces), target))
+        ready = await self._async_commit(RangeTransfer(tuple(pieces), target))
         self._log.write(
             'keys-given',
             ranges=[(piece.keys.first, piece.keys.last) for piece in pieces],
@@ -131,22 +139,24 @@
             return False
         for piece in pieces:
             self._granter.ledger.forget(piece.keys)
-        given = tuple(
+        handover_tokens = tuple(
             Token(piece.keys, token)
             for piece, token in zip(pieces, tokens, strict=True)
             if token
         )
-        await self._courier.async_hand(target, ready.before, ready.after, given)
+        await self._relay.async_hand(
+            target, ready.before, ready.after, handover_tokens
+        )
         return True
 
-    async def _async_commit(self, passage: Passage) -> Ready:
-        """Change the map for a passage, and for all that are ready then.
+    async def _async_commit(self, transfer: RangeTransfer) -> ReadyTransfer:
+        """Commit a transfer, together with all that are ready by then.
 
-        If who changes the map for several is cancelled, the next one sends a
-        change of its own, which makes an open one fail or finds that it was
-        done.
+        If the task that commits for several is cancelled, the next one sends a
+        change of its own. This makes a pending change fail, or finds that it
+        was applied.
         """
-        ready = Ready(passage, self._clock.now())
+        ready = ReadyTransfer(transfer, self._clock.now())
         self._ready.append(ready)
         try:
             async with self._committing:
@@ -157,72 +167,75 @@
                 self._ready.remove(ready)
         return ready
 
-    async def _async_commit_all(self, joint: list[Ready]) -> None:
-        passages = [each.passage for each in joint]
-        waited_s = self._clock.now() - min(each.released_at for each in joint)
+    async def _async_commit_all(self, batch: list[ReadyTransfer]) -> None:
+        transfers = [each.transfer for each in batch]
+        waited_s = self._clock.now() - min(each.released_at for each in batch)
         committed = await self._registry.async_commit(
-            lambda registry: plan_passages(registry, passages),
+            lambda registry: plan_transfers(registry, transfers),
             MOVE_LIMIT_S,
-            crowded_limit_s=max(0.0, self._crowded_limit_s() - waited_s),
+            contended_limit_s=max(0.0, self._contended_limit_s() - waited_s),
         )
-        before, after = self._registry.changed_from, self._registry.key_map
-        for each in joint:
+        before, after = self._registry.change_base, self._registry.key_map
+        for each in batch:
             each.before = before
             each.after = after
-            each.outcome = self._outcome(each.passage, committed)
+            each.outcome = self._outcome(each.transfer, committed)
             if each in self._ready:
                 self._ready.remove(each)
         if committed is CommitResult.DONE:
-            self._spread(before, after, passages)
+            self._broadcast(before, after, transfers)
 
-    def _crowded_limit_s(self) -> float:
+    def _contended_limit_s(self) -> float:
         is_leaving = not self._registry.accepts_keys
         return MOVE_LIMIT_S if is_leaving else CONTENDED_LIMIT_S
 
     def _outcome(
-        self, passage: Passage, committed: CommitResult
+        self, transfer: RangeTransfer, committed: CommitResult
     ) -> CommitResult:
-        """Return what a change made for several means for one of them."""
+        """Return the outcome of one transfer in a joint change."""
         registry = self._registry
-        if committed is not CommitResult.DONE or has_passed(
-            registry.key_map, passage, registry.member.name
+        if committed is not CommitResult.DONE or is_transferred(
+            registry.key_map, transfer, registry.member.name
         ):
             return committed
         return CommitResult.NOT_WANTED
 
-    def _spread(
-        self, before: KeyMap, after: KeyMap, passages: list[Passage]
+    def _broadcast(
+        self, before: KeyMap, after: KeyMap, transfers: list[RangeTransfer]
     ) -> None:
-        """Tell all members at once, but those that get keys.
+        """Notify all members at once, except those that receive keys.
 
-        Whoever does not know of a change makes its own from an older map, in
-        vain. Receivers are told with their tokens: a grant without is cold.
+        A member that doesn't know the change would plan its own from an
+        outdated map, which fails. Receivers are notified together with their
+        tokens, as a grant without a token is cold.
         """
-        self._courier.spread(
+        self._relay.spread(
             self._registry.member.service,
             before,
             after,
-            frozenset(passage.target for passage in passages),
+            frozenset(transfer.target for transfer in transfers),
         )
 
-    async def _async_free(self, piece: Assignment) -> str | None:
-        """Make sure that the server works on a range no more."""
+    async def _async_release(self, piece: Assignment) -> str | None:
+        """Make sure that the server no longer works on a range."""
         token = await self._granter.async_release(piece)
         self._granter.ledger.on_released(piece.keys)
-        await self._async_wait_out(piece.keys, is_released=token is not None)
+        await self._async_wait_for_holds(
+            piece.keys, is_released=token is not None
+        )
         return token
 
-    async def _async_wait_out(
+    async def _async_wait_for_holds(
         self, keys: KeyRange, *, is_released: bool
     ) -> None:
         """Wait until no grant on these keys can still be in force.
 
-        An order without an answer may be carried out seconds later, but never
-        after the end of every hold that may exist.
+        An order without an answer may be executed seconds later, but never
+        after the latest possible end of its hold.
         """
         ledger = self._granter.ledger
         if is_released:
-            ends = ledger.unsure_until(keys)
+            ends = ledger.unconfirmed_until(keys)
         else:
             ends = ledger.ends_by(keys)
         left_s = ends - self._clock.now()
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -229,15 +229,15 @@
     Guard(
         'a witness gives up nothing that it promised',
         'plantaingrade/holds/promises.py',
-        'if said is None or said.promised_to >= asked.number:',
-        'if said is None:',
+        'if record is None or record.promised_to >= request.number:',
+        'if record is None:',
         'tests/holds/test_promises.py',
     ),
     Guard(
         'a witness promises nothing that it gave up',
         'plantaingrade/holds/promises.py',
-        'if said is None or said.given_up_to >= asked.first:',
-        'if said is None:',
+        'if record is None or record.expired_to >= request.first:',
+        'if record is None:',
         'tests/holds/test_promises.py',
     ),
     Guard(
@@ -251,7 +251,7 @@
         'a write that may stand bounds the lease',
         'plantaingrade/holds/term.py',
         'return min(self._end_of(each) for each in sent)',
-        'return self._end_of(self._standing)',
+        'return self._end_of(self._applied)',
         'tests/holds/test_promises.py',
     ),
     Guard(
@@ -292,7 +292,7 @@
     Guard(
         'a new run grants under no fence of an earlier epoch',
         'plantaingrade/holds/epochs.py',
-        'return self._joined * FENCES_PER_EPOCH',
+        'return self._joined_epoch * FENCES_PER_EPOCH',
         'return 0',
         'tests/holds/test_store_copy.py',
     ),
@@ -306,7 +306,7 @@
     Guard(
         'what may have been given away in a lost epoch rests',
         'plantaingrade/holds/registry.py',
-        'if given:\n            fence',
+        'if transferred:\n            fence',
         'if False:\n            fence',
         'tests/holds/test_store_copy.py',
     ),
--- a/tests/holds/fakes.py
+++ b/tests/holds/fakes.py
@@ -515,7 +515,7 @@
     life: BackendLife
     orders: FakeOrders
     holds: HoldCoordinator
-    courier: FakeCourier
+    relay: FakeCourier
     witnesses: FakeWitnesses
     task: asyncio.Task[None] | None = None
     moves: list[asyncio.Task[bool]] = field(default_factory=list)
@@ -659,7 +659,7 @@
         life = BackendLife()
         life.on_named(server.instance, _now())
         orders = FakeOrders(server)
-        courier = FakeCourier(self, name)
+        relay = FakeCourier(self, name)
         witnesses = FakeWitnesses(self, name, member.boot)
         holds = HoldCoordinator(
             store,
@@ -669,12 +669,12 @@
             orders,
             LoopClock(),
             self._log,
-            MemberLinks(courier, witnesses, lambda: None),
+            MemberLinks(relay, witnesses, lambda: None),
             starts_with_all=starts_with_all,
         )
         maps.listen(lambda service, _: holds.on_map(service))
         place = FakePlace(
-            name, server, store, maps, life, orders, holds, courier, witnesses
+            name, server, store, maps, life, orders, holds, relay, witnesses
         )
         place.task = asyncio.get_running_loop().create_task(holds.async_run())
         return place
--- a/tests/holds/test_coordinator.py
+++ b/tests/holds/test_coordinator.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from plantaingrade.holds.const import HINT_PAUSE_S, HOLD_S, LEASE_S
+from plantaingrade.holds.const import HOLD_S, LEASE_S, MAP_HINT_DELAY_S
 from plantaingrade.keyspace.entity import KEY_COUNT, KeyRange
 from tests.holds.fakes import Fault, World
 from tests.virtual import run
@@ -188,14 +188,14 @@
         await settled(world)
         given = KeyRange(5, 9)
         owner = places[0].maps.find('cases').find(5).owner
-        giver = next(place for place in places if place.name == owner)
+        source = next(place for place in places if place.name == owner)
         target = next(place for place in places if place.name != owner)
-        assert await giver.holds.async_transfer([given], target.name)
+        assert await source.holds.async_transfer([given], target.name)
         await watch(world, 2.0)
         assert target.server.warm == [given]
         assert target.holds.is_held(7)
-        assert not giver.holds.is_held(7)
-        assert giver.holds.is_held(10)
+        assert not source.holds.is_held(7)
+        assert source.holds.is_held(10)
         await world.async_stop()
 
     run(story())
@@ -384,11 +384,11 @@
         place.holds.on_hint(version + 1)
         newer = place.maps.find('cases').at_version(version + 1)
         place.maps.offer('cases', newer)
-        await asyncio.sleep(HINT_PAUSE_S * 2)
+        await asyncio.sleep(MAP_HINT_DELAY_S * 2)
         after_datagram = place.store.reads - reads
         reads = other.store.reads
         other.holds.on_hint(version + 1)
-        await asyncio.sleep(HINT_PAUSE_S * 2)
+        await asyncio.sleep(MAP_HINT_DELAY_S * 2)
         after_loss = other.store.reads - reads
         await world.async_stop()
         return after_datagram, after_loss
--- a/tests/holds/test_ledger.py
+++ b/tests/holds/test_ledger.py
@@ -51,7 +51,7 @@
     ledger.on_unanswered(lost, 10.0)
     granted(ledger, ALL, 1, 11.0)
     ledger.on_released(KeyRange(0, 9))
-    assert ledger.unsure_until(KeyRange(0, 9)) == latest_end(
+    assert ledger.unconfirmed_until(KeyRange(0, 9)) == latest_end(
         Grant(ALL, 1, HOLD_S), 10.0
     )
 
@@ -59,7 +59,7 @@
 def test_a_confirmed_grant_leaves_nothing_unsure() -> None:
     ledger = GrantLedger()
     granted(ledger, ALL, 1, 10.0)
-    assert ledger.unsure_until(ALL) == approx(0.0)
+    assert ledger.unconfirmed_until(ALL) == approx(0.0)
 
 
 def test_a_later_fence_keeps_what_earlier_grants_may_do() -> None:
@@ -68,7 +68,7 @@
     ledger.on_sent(lost, 10.0)
     ledger.on_unanswered(lost, 10.0)
     granted(ledger, KeyRange(0, 49), 2, 10.5)
-    assert ledger.unsure_until(KeyRange(0, 49)) == latest_end(
+    assert ledger.unconfirmed_until(KeyRange(0, 49)) == latest_end(
         Grant(ALL, 1, HOLD_S), 10.0
     )
     assert ledger.held_until(60, 1) == approx(0.0)
--- a/tests/holds/test_order_connections.py
+++ b/tests/holds/test_order_connections.py
@@ -153,15 +153,15 @@
 
     async def story() -> list[bool]:
         world = World()
-        giver, _ = (world.add(name) for name in ('m1', 'm2'))
+        source, _ = (world.add(name) for name in ('m1', 'm2'))
         await asyncio.sleep(SETTLED_S)
-        giver.server.is_silent = True
+        source.server.is_silent = True
         await asyncio.sleep(silent_s)
         outcomes = []
         for _ in range(3):
-            owned = giver.maps.find(SERVICE).owned_by('m1')
+            owned = source.maps.find(SERVICE).owned_by('m1')
             keys = [each.keys for each in owned]
-            outcomes.append(await giver.holds.async_transfer(keys, 'm2'))
+            outcomes.append(await source.holds.async_transfer(keys, 'm2'))
             await asyncio.sleep(0.25)
         await world.async_stop()
         return outcomes
--- a/tests/holds/test_passing.py
+++ b/tests/holds/test_passing.py
@@ -8,7 +8,11 @@
 import asyncio
 from itertools import pairwise
 
-from plantaingrade.holds.passing import Passage, has_passed, plan_passages
+from plantaingrade.holds.joint_transfers import (
+    RangeTransfer,
+    is_transferred,
+    plan_transfers,
+)
 from plantaingrade.keyspace.entity import KEY_COUNT, KeyMap, KeyRange
 from tests.holds.fakes import CALL_S, Fault, World
 from tests.virtual import run
@@ -118,12 +122,12 @@
         registry = world.places[0].holds.registry
         own = registry.key_map.owned_by('m1')[0]
         other = registry.key_map.owned_by('m2')[0]
-        passages = [Passage((own,), 'm3'), Passage((other,), 'm3')]
-        change = plan_passages(registry, passages)
-        assert has_passed(change.key_map, passages[0], 'm1')
+        transfers = [RangeTransfer((own,), 'm3'), RangeTransfer((other,), 'm3')]
+        change = plan_transfers(registry, transfers)
+        assert is_transferred(change.key_map, transfers[0], 'm1')
         assert change.key_map.find(other.keys.first).owner == 'm2'
-        assert plan_passages(registry, passages[1:]) is None
-        assert not has_passed(KeyMap((), 0), passages[0], 'm1')
+        assert plan_transfers(registry, transfers[1:]) is None
+        assert not is_transferred(KeyMap((), 0), transfers[0], 'm1')
         await world.async_stop()
 
     run(story())
@@ -139,7 +143,7 @@
     async def story() -> None:
         world = await async_start()
         for place in world.places:
-            place.courier.told.clear()
+            place.relay.told.clear()
             own = place.maps.find('cases').owned_by(place.name)[0].keys
             keys = KeyRange(own.first, own.first + PIECE)
             target = 'm1' if place.name == 'm2' else 'm2'
@@ -148,7 +152,7 @@
         told = sorted(
             (after.version, before.version)
             for place in world.places
-            for before, after in place.courier.told
+            for before, after in place.relay.told
         )
         assert len(told) == len(NAMES)
         for (version, _), (_, base) in pairwise(told):
--- a/tests/holds/test_promises.py
+++ b/tests/holds/test_promises.py
@@ -10,7 +10,7 @@
 from plantaingrade.holds.const import BASE_LEASE_S, LEASE_S, SCAN_PERIOD_S
 from plantaingrade.holds.entity import ExpiryRequest, PromiseRequest, Witness
 from plantaingrade.holds.lease import MemberRow
-from plantaingrade.holds.promises import KEPT_S, WitnessState, is_majority
+from plantaingrade.holds.promises import RETENTION_S, WitnessState, is_majority
 from plantaingrade.holds.term import LeaseTerm
 from plantaingrade.keyspace.entity import KEY_COUNT
 from plantaingrade.peers.entity import Member
@@ -228,11 +228,13 @@
 def test_what_was_said_is_kept_for_longer_than_any_lease() -> None:
     book = WitnessState('w')
     assert book.on_promise_request(PromiseRequest('m', 'b', 1, 2, 'w'), 0.0)
-    book.on_promise_request(PromiseRequest('n', 'b', 1, 2, 'w'), KEPT_S - 1)
+    book.on_promise_request(
+        PromiseRequest('n', 'b', 1, 2, 'w'), RETENTION_S - 1
+    )
     assert not book.on_expiry_request(
-        ExpiryRequest('m', 'b', 2, 'w'), KEPT_S - 1
+        ExpiryRequest('m', 'b', 2, 'w'), RETENTION_S - 1
     )
-    assert KEPT_S > 5 * LEASE_S
+    assert RETENTION_S > 5 * LEASE_S
 
 
 def row(number: int, now_s: float, *witnesses: Witness) -> MemberRow:
@@ -254,28 +256,28 @@
 def test_a_write_without_an_answer_bounds_what_was_promised() -> None:
     """A write whose answer is lost may stand, and nobody promised for it."""
     term = make_term()
-    term.on_standing(row(1, 100.0, *WITNESSES))
+    term.on_applied(row(1, 100.0, *WITNESSES))
     assert term.until == pytest.approx(BASE_LEASE_S, abs=0.1)
-    assert term.question(WITNESSES[0]).last == 1
+    assert term.promise_request(WITNESSES[0]).last == 1
     term.on_promised(1)
     assert term.until == pytest.approx(LEASE_S, abs=0.1)
     term.on_sent(row(2, 103.0, *WITNESSES))
     assert term.until == pytest.approx(3 + BASE_LEASE_S, abs=0.1)
-    assert term.question(WITNESSES[0]).first == 1
-    term.on_promised(term.question(WITNESSES[0]).last)
+    assert term.promise_request(WITNESSES[0]).first == 1
+    term.on_promised(term.promise_request(WITNESSES[0]).last)
     assert term.until == pytest.approx(LEASE_S, abs=0.1)
-    term.on_standing(row(2, 103.0, *WITNESSES))
+    term.on_applied(row(2, 103.0, *WITNESSES))
     assert term.until == pytest.approx(3 + LEASE_S, abs=0.1)
-    assert not term.may_grow
+    assert not term.can_extend
 
 
 def test_each_set_of_witnesses_counts_by_itself() -> None:
     """A write that names others may stand in place of the one known to."""
     others = (Witness('x', 'b'),)
     term = make_term()
-    term.on_standing(row(1, 100.0, *WITNESSES))
+    term.on_applied(row(1, 100.0, *WITNESSES))
     term.on_sent(row(2, 103.0, *others))
     assert set(term.witness_sets()) == {WITNESSES, others}
-    term.on_refused(row(2, 103.0, *others))
+    term.on_not_applied(row(2, 103.0, *others))
     term.on_sent(row(3, 103.0))
-    assert not term.may_grow
+    assert not term.can_extend
--- a/tests/holds/test_renewals.py
+++ b/tests/holds/test_renewals.py
@@ -32,10 +32,10 @@
             world.add(f'm{place}')
         await asyncio.sleep(SETTLED_S)
         granted.clear()
-        giver, bystander = world.places[0], world.places[-1]
+        source, bystander = world.places[0], world.places[-1]
         for _ in range(CHANGES):
-            own = giver.maps.find('cases').owned_by('m0')[0].keys
-            world.move(giver, KeyRange(own.first, own.first), 'm1')
+            own = source.maps.find('cases').owned_by('m0')[0].keys
+            world.move(source, KeyRange(own.first, own.first), 'm1')
             await asyncio.sleep(PAUSE_S)
         await world.async_stop()
         return granted.count(bystander.server.instance)
--- a/tests/holds/test_store_copy.py
+++ b/tests/holds/test_store_copy.py
@@ -7,7 +7,7 @@
 
 from plantaingrade.holds.changes import CommitResult
 from plantaingrade.holds.const import ESTIMATE_SLACK_S, LEASE_S
-from plantaingrade.holds.plans import plan_carry_over, plan_outrank
+from plantaingrade.holds.plans import plan_lease_migration, plan_new_fences
 from plantaingrade.keyspace.entity import KEY_COUNT, KeyRange
 from tests.holds.fakes import Fault, RowsCopy, World
 from tests.holds.test_coordinator import (
@@ -98,16 +98,16 @@
     async def story() -> None:
         world = await start()
         copy = world.rows.copy()
-        giver, target = world.places[:2]
-        key = giver.maps.find('cases').owned_by(giver.name)[0].keys.first
-        giver.store.faults.append(Fault.LOST)
-        world.move(giver, KeyRange(key, key), target.name)
+        source, target = world.places[:2]
+        key = source.maps.find('cases').owned_by(source.name)[0].keys.first
+        source.store.faults.append(Fault.LOST)
+        world.move(source, KeyRange(key, key), target.name)
         await watch(world, 0.3)
         await target.holds.registry.async_read()
         world.rows.come_back(copy)
         await watch(world, REST_S)
         assert target.holds.is_held(key)
-        assert not giver.holds.is_held(key)
+        assert not source.holds.is_held(key)
         await assert_whole(world)
 
     run(story())
@@ -119,14 +119,14 @@
     async def story() -> None:
         world = await start()
         copy = world.rows.copy()
-        giver, target = world.places[:2]
-        given = giver.maps.find('cases').owned_by(giver.name)[0].keys
-        world.move(giver, given, target.name)
+        source, target = world.places[:2]
+        given = source.maps.find('cases').owned_by(source.name)[0].keys
+        world.move(source, given, target.name)
         await watch(world, 1.0)
-        world.kill(giver)
+        world.kill(source)
         target.store.is_away = True
         world.rows.come_back(copy)
-        world.restart(giver)
+        world.restart(source)
         await watch(world, 3.0)
         assert target.holds.is_held(given.first)
         target.store.is_away = False
@@ -141,12 +141,12 @@
     async def story() -> None:
         world = await start()
         copy = world.rows.copy()
-        giver, target = world.places[:2]
-        key = giver.maps.find('cases').owned_by(giver.name)[0].keys.first
+        source, target = world.places[:2]
+        key = source.maps.find('cases').owned_by(source.name)[0].keys.first
         for _ in range(4):
-            world.move(giver, KeyRange(key, key), target.name)
+            world.move(source, KeyRange(key, key), target.name)
             await watch(world, 0.5)
-            world.move(target, KeyRange(key, key), giver.name)
+            world.move(target, KeyRange(key, key), source.name)
             await watch(world, 0.5)
         await come_back(world, copy)
         await watch(world, REST_S)
@@ -307,13 +307,13 @@
         world.rows.come_back(copy)
         for place in (holder, again):
             place.store.epochs.note(world.rows.epoch)
-        holder.holds.registry.follow_epoch()
+        holder.holds.registry.advance_epoch()
         outcomes = [
             await holder.holds.registry.async_commit(
-                plan_carry_over, LEASE_S, carries=True
+                plan_lease_migration, LEASE_S, migrates=True
             ),
             await again.holds.registry.async_commit(
-                plan_outrank, LEASE_S, joins=True
+                plan_new_fences, LEASE_S, joins=True
             ),
         ]
         await world.async_stop()
--- a/tests/holds/test_strangers.py
+++ b/tests/holds/test_strangers.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from plantaingrade.holds.const import HOLD_S, LEASE_S, UNREADABLE_S
+from plantaingrade.holds.const import HOLD_S, LEASE_S, MAX_LEASE_LEFT_S
 from plantaingrade.holds.lease import (
     MemberRow,
     UnreadableLeaseError,
@@ -245,7 +245,7 @@
         await watch(world, LEASE_S + 6)
         key_map = world.places[2].maps.find(SERVICE)
         assert not key_map.owned_by('m2')
-        await watch(world, UNREADABLE_S + 6)
+        await watch(world, MAX_LEASE_LEFT_S + 6)
         key_map = world.places[2].maps.find(SERVICE)
         assert key_map.owners() == {'m3'}
         assert world.held_keys() == KEY_COUNT
--- a/tests/holds/test_times.py
+++ b/tests/holds/test_times.py
@@ -7,8 +7,8 @@
     ESTIMATE_SLACK_S,
     HOLD_S,
     LEASE_S,
+    MAX_LEASE_LEFT_S,
     RENEW_S,
-    UNREADABLE_S,
 )
 from plantaingrade.holds.times import lease_times
 
@@ -36,4 +36,4 @@
     times = lease_times(members)
     assert times.base_s - times.renew_s >= HOLD_S
     assert times.full_s - times.renew_s >= 10
-    assert times.full_s + ESTIMATE_SLACK_S <= UNREADABLE_S
+    assert times.full_s + ESTIMATE_SLACK_S <= MAX_LEASE_LEFT_S
--- a/tests/holds/test_turns.py
+++ b/tests/holds/test_turns.py
@@ -10,8 +10,8 @@
 import random
 
 from plantaingrade.holds.backoff import (
-    FIRST_WINDOW_S,
     MAX_WINDOW_S,
+    MIN_WINDOW_S,
     ConflictBackoff,
 )
 from plantaingrade.keyspace.entity import KEY_COUNT
@@ -45,21 +45,21 @@
         began = asyncio.get_running_loop().time()
         while world.held_keys() < KEY_COUNT:
             await asyncio.sleep(LOOK_S)
-        took_s = asyncio.get_running_loop().time() - began
+        response_s = asyncio.get_running_loop().time() - began
         commits = sum(place.store.commits for place in world.places)
         await world.async_stop()
-        return took_s, commits - before
+        return response_s, commits - before
 
-    took_s, commits = run(story())
-    assert took_s < MAX_RETURN_S
+    response_s, commits = run(story())
+    assert response_s < MAX_RETURN_S
     assert commits < MAX_COMMITS_EACH * MEMBERS
 
 
 def test_pauses_grow_with_the_changes_that_came_too_late() -> None:
     backoff = ConflictBackoff(random.Random(1))
     pauses = [backoff.on_conflict(0.0) for _ in range(MEMBERS)]
-    assert pauses[0] <= FIRST_WINDOW_S
-    assert FIRST_WINDOW_S < max(pauses) <= MAX_WINDOW_S
+    assert pauses[0] <= MIN_WINDOW_S
+    assert MIN_WINDOW_S < max(pauses) <= MAX_WINDOW_S
 
 
 def test_pauses_shrink_with_the_changes_that_are_done() -> None:
@@ -68,7 +68,7 @@
         backoff.on_conflict(0.0)
     for _ in range(MEMBERS):
         backoff.on_success()
-    assert backoff.on_conflict(0.0) <= FIRST_WINDOW_S
+    assert backoff.on_conflict(0.0) <= MIN_WINDOW_S
 
 
 def test_a_slow_answer_widens_the_window_at_once() -> None:
--- a/tests/holds/test_unheld.py
+++ b/tests/holds/test_unheld.py
@@ -3,8 +3,8 @@
 import asyncio
 
 from plantaingrade.holds.unheld import (
-    FORGET_S,
     MAX_UNHELD_WAIT_S,
+    STALE_AFTER_S,
     UnheldRanges,
 )
 from plantaingrade.keyspace.entity import KeyRange
@@ -24,7 +24,7 @@
 def test_a_later_move_of_the_same_keys_begins_anew() -> None:
     unheld = UnheldRanges()
     assert not unheld.is_overdue(HOT, 1.0)
-    later = 1.0 + FORGET_S + MAX_UNHELD_WAIT_S
+    later = 1.0 + STALE_AFTER_S + MAX_UNHELD_WAIT_S
     assert not unheld.is_overdue(HOT, later)
     assert not unheld.is_overdue(KeyRange(0, 99), later + MAX_UNHELD_WAIT_S)
 
@@ -40,17 +40,17 @@
         world = World()
         places = [world.add(name) for name in ('m1', 'm2')]
         await asyncio.sleep(6.0)
-        giver = places[0].holds
-        key = giver.registry.key_map.owned_by('m1')[0].keys.first
+        source = places[0].holds
+        key = source.registry.key_map.owned_by('m1')[0].keys.first
         places[0].store.is_away = True
         move = asyncio.create_task(
-            giver.async_transfer([KeyRange(key, key)], 'm2')
+            source.async_transfer([KeyRange(key, key)], 'm2')
         )
         answers = []
         for _ in range(30):
             await asyncio.sleep(LOOK_S)
-            if not giver.is_held(key):
-                answers.append(giver.is_overdue(key))
+            if not source.is_held(key):
+                answers.append(source.is_overdue(key))
         move.cancel()
         await world.async_stop()
         return answers
