--- a/bench/rebirth.py
+++ b/bench/rebirth.py
@@ -13,7 +13,7 @@
 from statistics import median
 
 from plantaingrade.keyspace.entity import KEY_COUNT
-from tests.holds.fakes import FakePlace, World
+from tests.holds.fakes import FakeCluster, FakeMember
 from tests.virtual import run
 
 MEMBERS = 20
@@ -35,19 +35,19 @@
     grants: float
 
 
-def crash(place: FakePlace) -> None:
+def crash(place: FakeMember) -> None:
     """End a server's life."""
     place.server.is_up = False
     place.server.holds.clear()
 
 
-def start(world: World, place: FakePlace) -> None:
+def start(world: FakeCluster, place: FakeMember) -> None:
     """Begin its next life."""
     place.server = world.add_server()
     place.orders.server = place.server
 
 
-async def async_gap(world: World, places: list[FakePlace]) -> float:
+async def async_gap(world: FakeCluster, places: list[FakeMember]) -> float:
     """Restart servers; return how long keys are then unheld."""
     for place in places:
         crash(place)
@@ -64,7 +64,7 @@
 async def async_measure(at_once: int) -> Rebirths:
     """Restart some servers at once, several times."""
     random.seed(1)
-    world = World(1)
+    world = FakeCluster(1)
     for number in range(MEMBERS):
         world.add(f'm{number}')
     await asyncio.sleep(SETTLED_S)
@@ -73,11 +73,11 @@
     grants = 0
     for _ in range(RESTARTS):
         await asyncio.sleep(PAUSE_S + random.random())
-        places = random.sample(world.places, at_once)
-        version = world.places[0].maps.find('cases').fence
+        places = random.sample(world.members, at_once)
+        version = world.members[0].maps.find('cases').fence
         gaps.append(await async_gap(world, places))
         await asyncio.sleep(PAUSE_S)
-        transactions += world.places[0].maps.find('cases').fence - version
+        transactions += world.members[0].maps.find('cases').fence - version
         grants += sum(len(place.server.fences) for place in places)
     await world.async_stop()
     runs = RESTARTS * at_once
--- a/tests/holds/connections.py
+++ b/tests/holds/connections.py
@@ -22,7 +22,7 @@
 from plantaingrade.platform.orders import OrderClient
 from plantaingrade.requests.entity import Answer
 from plantaingrade.sidecar.fronts import refuse_malformed, send_answer
-from tests.holds.fakes import SERVICE, FakePlace, FakeServer, World
+from tests.holds.fakes import SERVICE, FakeCluster, FakeMember, FakeServer
 from tests.virtual import LoopClock
 
 ADDRESS = 'near:1'
@@ -148,7 +148,7 @@
         return STATUS_OK if isinstance(outcome, Accepted) else STATUS_CONFLICT
 
 
-def connect(place: FakePlace) -> OrderedServer:
+def connect(place: FakeMember) -> OrderedServer:
     """Have a member order its server over connections."""
     pool = NearPool()
     ordered = OrderedServer(place.server)
@@ -161,10 +161,10 @@
     return ordered
 
 
-async def interleave(world: World, ranges: int) -> None:
+async def interleave(world: FakeCluster, ranges: int) -> None:
     """Divide all keys so that each of two members has this many ranges."""
-    place = world.places[0]
-    names = [each.name for each in world.places[:2]]
+    place = world.members[0]
+    names = [each.name for each in world.members[:2]]
 
     def plan(registry: Registry) -> Change:
         fence = registry.key_map.fence + 1
@@ -179,7 +179,7 @@
     assert len(owned) == ranges
 
 
-async def held_share(place: FakePlace, seconds: float) -> float:
+async def held_share(place: FakeMember, seconds: float) -> float:
     """Return the share of looks at which the own ranges were held."""
     looks = 0
     held = 0
--- a/tests/holds/fakes.py
+++ b/tests/holds/fakes.py
@@ -433,7 +433,7 @@
 class FakeCourier:
     """Tell the other members of changes, or lose the word."""
 
-    def __init__(self, world: 'World', own: str) -> None:
+    def __init__(self, world: 'FakeCluster', own: str) -> None:
         """Send on behalf of one member."""
         self._world = world
         self._own = own
@@ -448,7 +448,7 @@
     ) -> None:
         """Tell every member."""
         self.told.append((before, after))
-        for place in self._world.places:
+        for place in self._world.members:
             is_told = place.name != self._own and place.name not in skipped
             if is_told and self._world.is_heard():
                 place.maps.offer(service, after)
@@ -462,7 +462,7 @@
     ) -> None:
         """Tell the member that got keys."""
         await asyncio.sleep(CALL_S)
-        for place in self._world.places:
+        for place in self._world.members:
             if place.name == target and self._world.is_heard():
                 place.maps.offer(SERVICE, after)
                 for token in tokens:
@@ -472,7 +472,7 @@
 class FakeWitnesses:
     """Witnesses among the other members; words to and from them are lost."""
 
-    def __init__(self, world: 'World', own: str, boot: str) -> None:
+    def __init__(self, world: 'FakeCluster', own: str, boot: str) -> None:
         """Answer for one run of a member."""
         self._world = world
         self._own = own
@@ -484,7 +484,7 @@
         """Name up to three others that run."""
         return tuple(
             Witness(place.name, place.witnesses.book.boot)
-            for place in self._world.places
+            for place in self._world.members
             if place.name != self._own and place.task is not None
         )[:WITNESS_COUNT]
 
@@ -505,7 +505,7 @@
 
 
 @dataclass(slots=True)
-class FakePlace:
+class FakeMember:
     """One member with its server."""
 
     name: str
@@ -521,13 +521,13 @@
     moves: list[asyncio.Task[bool]] = field(default_factory=list)
 
 
-class World:
+class FakeCluster:
     """Members of one service around shared rows."""
 
     def __init__(self, seed: int = 0) -> None:
         """Start with nobody."""
         self.rows = FakeRows()
-        self.places: list[FakePlace] = []
+        self.members: list[FakeMember] = []
         self.lost_word_share = 0.0
         self.servers: list[FakeServer] = []
         self._random = random.Random(seed)
@@ -543,7 +543,7 @@
 
     def decide(self, witness: Witness, question: WitnessRequest) -> bool:
         """Have the run of a member that is named answer, if it still runs."""
-        for place in self.places:
+        for place in self.members:
             if place.name != witness.name or place.task is None:
                 continue
             match question:
@@ -559,20 +559,20 @@
 
     def set_store_away(self, is_away: bool) -> None:
         """Take the store away from all members, or give it back."""
-        for place in self.places:
+        for place in self.members:
             place.store.is_away = is_away
 
-    def add(self, name: str) -> FakePlace:
+    def add(self, name: str) -> FakeMember:
         """Add a member with a new server, and start it.
 
         Members that are added before any time has passed start together.
         """
         is_first = _now() == self._began_at
         place = self._make(name, self.add_server(), starts_with_all=is_first)
-        self.places.append(place)
+        self.members.append(place)
         return place
 
-    def kill(self, place: FakePlace) -> None:
+    def kill(self, place: FakeMember) -> None:
         """End a member's process; its server goes on."""
         if place.task is not None:
             place.task.cancel()
@@ -580,25 +580,25 @@
         for move in place.moves:
             move.cancel()
 
-    def move(self, place: FakePlace, keys: KeyRange, target: str) -> None:
+    def move(self, place: FakeMember, keys: KeyRange, target: str) -> None:
         """Give a range away, beside all else that goes on."""
         give = place.holds.async_transfer([keys], target)
         move = asyncio.get_running_loop().create_task(give)
         place.moves.append(move)
 
-    def restart(self, place: FakePlace) -> FakePlace:
+    def restart(self, place: FakeMember) -> FakeMember:
         """Start a new run of a member beside the same server."""
         again = self._make(place.name, place.server, place.store)
-        self.places[self.places.index(place)] = again
+        self.members[self.members.index(place)] = again
         return again
 
-    def renew_server(self, place: FakePlace) -> None:
+    def renew_server(self, place: FakeMember) -> None:
         """Crash a server; another life of it starts."""
         self.replace_server(place)
         place.life.on_named(place.server.instance, _now())
         place.holds.on_new_incarnation()
 
-    def replace_server(self, place: FakePlace) -> None:
+    def replace_server(self, place: FakeMember) -> None:
         """Crash a server; another life of it starts, and nobody is told."""
         place.server.is_up = False
         place.server.holds.clear()
@@ -630,7 +630,7 @@
 
     async def async_stop(self) -> None:
         """End every member."""
-        tasks = [place.task for place in self.places if place.task is not None]
+        tasks = [place.task for place in self.members if place.task is not None]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -649,7 +649,7 @@
         store: FakeStore | None = None,
         *,
         starts_with_all: bool = False,
-    ) -> FakePlace:
+    ) -> FakeMember:
         self._boots += 1
         store = store or FakeStore(self.rows)
         store.clock = StoreClock()
@@ -673,7 +673,7 @@
             starts_with_all=starts_with_all,
         )
         maps.listen(lambda service, _: holds.on_map(service))
-        place = FakePlace(
+        place = FakeMember(
             name, server, store, maps, life, orders, holds, relay, witnesses
         )
         place.task = asyncio.get_running_loop().create_task(holds.async_run())
--- a/tests/holds/test_coordinator.py
+++ b/tests/holds/test_coordinator.py
@@ -7,7 +7,7 @@
 
 from plantaingrade.holds.const import HOLD_S, LEASE_S, MAP_HINT_DELAY_S
 from plantaingrade.keyspace.entity import KEY_COUNT, KeyRange
-from tests.holds.fakes import Fault, World
+from tests.holds.fakes import FakeCluster, Fault
 from tests.virtual import run
 
 SETTLED_S = 6.0
@@ -15,13 +15,13 @@
 LOOK_S = 0.05
 
 
-async def settled(world: World) -> None:
+async def settled(world: FakeCluster) -> None:
     await asyncio.sleep(SETTLED_S)
     assert world.held_keys() == KEY_COUNT
     assert not world.overlaps()
 
 
-async def watch(world: World, seconds: float) -> None:
+async def watch(world: FakeCluster, seconds: float) -> None:
     """Let time pass and look for keys with two owners."""
     for _ in range(int(seconds / LOOK_S)):
         await asyncio.sleep(LOOK_S)
@@ -30,7 +30,7 @@
 
 def test_members_that_start_together_divide_all_keys() -> None:
     async def story() -> None:
-        world = World()
+        world = FakeCluster()
         for name in NAMES:
             world.add(name)
         await settled(world)
@@ -47,7 +47,7 @@
     """
 
     async def story() -> None:
-        world = World()
+        world = FakeCluster()
         places = [world.add(name) for name in NAMES]
         await settled(world)
         world.kill(places[0])
@@ -69,7 +69,7 @@
     """
 
     async def story() -> None:
-        world = World()
+        world = FakeCluster()
         places = [world.add(name) for name in NAMES]
         await settled(world)
         first_map = places[1].maps.find('cases')
@@ -79,7 +79,7 @@
         world.restart(places[0])
         await watch(world, 2.0)
         assert world.held_keys() == KEY_COUNT
-        key_map = world.places[0].maps.find('cases')
+        key_map = world.members[0].maps.find('cases')
         assert min(each.fence for each in key_map.owned_by('m1')) > max(fences)
         await world.async_stop()
 
@@ -90,7 +90,7 @@
     """The store answers nobody for nine seconds; servers keep their keys."""
 
     async def story() -> None:
-        world = World()
+        world = FakeCluster()
         places = [world.add(name) for name in NAMES]
         await settled(world)
         for place in places:
@@ -115,7 +115,7 @@
     """
 
     async def story() -> None:
-        world = World()
+        world = FakeCluster()
         places = [world.add(name) for name in NAMES]
         await settled(world)
         places[0].store.is_away = True
@@ -136,7 +136,7 @@
     """
 
     async def story() -> None:
-        world = World()
+        world = FakeCluster()
         places = [world.add(name) for name in NAMES]
         await settled(world)
         given = places[0].maps.find('cases').owned_by('m1')[0].keys
@@ -163,7 +163,7 @@
     """
 
     async def story() -> None:
-        world = World()
+        world = FakeCluster()
         places = [world.add(name) for name in NAMES]
         await settled(world)
         given = places[0].maps.find('cases').owned_by('m1')[0].keys
@@ -183,7 +183,7 @@
 
 def test_a_transfer_passes_the_token_on() -> None:
     async def story() -> None:
-        world = World()
+        world = FakeCluster()
         places = [world.add(name) for name in NAMES]
         await settled(world)
         given = KeyRange(5, 9)
@@ -209,7 +209,7 @@
     """
 
     async def story() -> None:
-        world = World()
+        world = FakeCluster()
         places = [world.add(name) for name in NAMES]
         await settled(world)
         places[0].server.late_share = 1.0
@@ -229,7 +229,7 @@
     """
 
     async def story() -> None:
-        world = World()
+        world = FakeCluster()
         places = [world.add(name) for name in NAMES]
         await settled(world)
         places[0].server.is_silent = True
@@ -244,7 +244,7 @@
 
 def test_another_life_of_a_server_gets_higher_fences() -> None:
     async def story() -> None:
-        world = World()
+        world = FakeCluster()
         places = [world.add(name) for name in NAMES]
         await settled(world)
         before = places[0].maps.find('cases').owned_by('m1')[0]
@@ -270,7 +270,7 @@
 
     async def story() -> None:
         chooser = random.Random(seed)
-        world = World(seed)
+        world = FakeCluster(seed)
         for name in NAMES:
             world.add(name)
         await settled(world)
@@ -298,7 +298,7 @@
 
     async def story() -> None:
         chooser = random.Random(seed)
-        world = World(seed)
+        world = FakeCluster(seed)
         for name in NAMES:
             world.add(name)
         await settled(world)
@@ -316,8 +316,8 @@
     run(story())
 
 
-def disturb(world: World, chooser: random.Random, kinds: int = 8) -> None:
-    place = chooser.choice(world.places)
+def disturb(world: FakeCluster, chooser: random.Random, kinds: int = 8) -> None:
+    place = chooser.choice(world.members)
     match chooser.randrange(kinds):
         case 0:
             world.kill(place)
@@ -345,7 +345,7 @@
             place.orders.is_sign_lost = not place.orders.is_sign_lost
 
 
-def _move(world: World, place, chooser: random.Random) -> None:
+def _move(world: FakeCluster, place, chooser: random.Random) -> None:
     owned = place.maps.find('cases').owned_by(place.name)
     if place.task is None or not owned:
         return
@@ -356,9 +356,9 @@
     world.move(place, part, target)
 
 
-def calm(world: World) -> None:
+def calm(world: FakeCluster) -> None:
     world.lost_word_share = 0.0
-    for place in list(world.places):
+    for place in list(world.members):
         place.store.is_away = False
         place.store.is_refusing = False
         place.store.faults.clear()
@@ -376,7 +376,7 @@
     """
 
     async def story() -> tuple[int, int]:
-        world = World()
+        world = FakeCluster()
         place, other = (world.add(name) for name in ('m1', 'm2'))
         await settled(world)
         version = place.maps.find('cases').version
@@ -404,7 +404,7 @@
     """
 
     async def story() -> tuple[int, int]:
-        world = World()
+        world = FakeCluster()
         place, _ = (world.add(name) for name in ('m1', 'm2'))
         await settled(world)
         before = place.server
@@ -431,7 +431,7 @@
     """
 
     async def story() -> tuple[int, int]:
-        world = World()
+        world = FakeCluster()
         place, _ = (world.add(name) for name in ('m1', 'm2'))
         await settled(world)
         before = place.server
@@ -458,7 +458,7 @@
     """
 
     async def story() -> int:
-        world = World()
+        world = FakeCluster()
         place, _ = (world.add(name) for name in ('m1', 'm2'))
         await settled(world)
         place.server.is_up = False
@@ -472,13 +472,13 @@
     assert run(story()) == 0
 
 
-async def fences_across_a_crash(world: World) -> tuple[int, int]:
+async def fences_across_a_crash(world: FakeCluster) -> tuple[int, int]:
     """Let a server crash and start again unheard of.
 
     Returns:
         The highest fence of the life before, and the lowest of the new one.
     """
-    place = world.places[0]
+    place = world.members[0]
     before = place.server
     world.replace_server(place)
     await watch(world, 3.0)
@@ -501,11 +501,11 @@
     """
 
     async def story() -> tuple[int, int]:
-        world = World()
+        world = FakeCluster()
         for name in ('m1', 'm2'):
             world.add(name)
         await settled(world)
-        for place in world.places:
+        for place in world.members:
             place.store.is_refusing = is_refusing
             place.store.is_away = not is_refusing
         found = await fences_across_a_crash(world)
@@ -525,7 +525,7 @@
     """
 
     async def story() -> tuple[int, int]:
-        world = World()
+        world = FakeCluster()
         for name in ('m1', 'm2'):
             world.add(name).orders.is_sign_lost = True
         await settled(world)
@@ -544,15 +544,15 @@
     """
 
     async def story() -> int:
-        world = World()
+        world = FakeCluster()
         for name in ('m1', 'm2'):
             world.add(name)
         await settled(world)
-        for place in world.places:
+        for place in world.members:
             place.store.is_away = True
-        world.replace_server(world.places[0])
+        world.replace_server(world.members[0])
         await watch(world, 4.0)
-        for place in world.places:
+        for place in world.members:
             place.store.is_away = False
         await watch(world, 3.0)
         held = world.held_keys()
@@ -575,11 +575,11 @@
     """
 
     async def story() -> list[str]:
-        world = World()
+        world = FakeCluster()
         for name in ('m1', 'm2'):
             world.add(name)
         await settled(world)
-        place = world.places[0]
+        place = world.members[0]
         world.kill(place)
         world.replace_server(place)
         place.store.faults.extend((fault, fault))
@@ -602,7 +602,7 @@
     """
 
     async def story() -> None:
-        world = World()
+        world = FakeCluster()
         places = [world.add(name) for name in ('m1', 'm2')]
         await settled(world)
         # Just after a renewal, so that the next one is 2.5 s away.
--- a/tests/holds/test_first_session.py
+++ b/tests/holds/test_first_session.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from plantaingrade.keyspace.entity import KEY_COUNT
-from tests.holds.fakes import World
+from tests.holds.fakes import FakeCluster
 from tests.virtual import run
 
 NAMES = ('m1', 'm2')
@@ -21,7 +21,7 @@
     """
 
     async def story() -> None:
-        world = World()
+        world = FakeCluster()
         place = [world.add(name) for name in NAMES][0]
         await asyncio.sleep(SETTLED_S)
         key = place.maps.find('cases').owned_by('m1')[0].keys.first
@@ -41,7 +41,7 @@
 
 def test_keys_of_a_server_that_was_not_reached_are_refused_at_once() -> None:
     async def story() -> None:
-        world = World()
+        world = FakeCluster()
         place = [world.add(name) for name in NAMES][0]
         await asyncio.sleep(SETTLED_S)
         key = place.maps.find('cases').owned_by('m1')[0].keys.first
--- a/tests/holds/test_order_connections.py
+++ b/tests/holds/test_order_connections.py
@@ -10,7 +10,7 @@
     held_share,
     interleave,
 )
-from tests.holds.fakes import SERVICE, World
+from tests.holds.fakes import SERVICE, FakeCluster
 from tests.virtual import run
 
 SETTLED_S = 6.0
@@ -25,8 +25,8 @@
 
 async def start(
     ranges: int, close_share: float = 0.0
-) -> tuple[World, OrderedServer]:
-    world = World()
+) -> tuple[FakeCluster, OrderedServer]:
+    world = FakeCluster()
     ordered = connect(world.add('m1'))
     ordered.close_share = close_share
     world.add('m2')
@@ -47,7 +47,7 @@
 
     async def story() -> tuple[float, int]:
         world, _ = await start(ranges, close_share=1.0)
-        place = world.places[0]
+        place = world.members[0]
         fence = place.maps.find(SERVICE).fence
         share = await held_share(place, WATCHED_S)
         changes = place.maps.find(SERVICE).fence - fence
@@ -70,7 +70,7 @@
     async def story() -> tuple[float, int]:
         world, ordered = await start(40)
         ordered.close_share = 0.1
-        place = world.places[0]
+        place = world.members[0]
         fence = place.maps.find(SERVICE).fence
         share = await held_share(place, WATCHED_S)
         changes = place.maps.find(SERVICE).fence - fence
@@ -91,9 +91,9 @@
 
     async def story() -> float:
         world, _ = await start(1, close_share=1.0)
-        for place in world.places:
+        for place in world.members:
             place.store.is_away = True
-        share = await held_share(world.places[0], 9.0)
+        share = await held_share(world.members[0], 9.0)
         await world.async_stop()
         return share
 
@@ -135,7 +135,7 @@
         world, ordered = await start(40)
         ordered.order_s = order_s
         await asyncio.sleep(4.0)
-        share = await held_share(world.places[0], WATCHED_S)
+        share = await held_share(world.members[0], WATCHED_S)
         await world.async_stop()
         return share
 
@@ -152,7 +152,7 @@
     """
 
     async def story() -> list[bool]:
-        world = World()
+        world = FakeCluster()
         source, _ = (world.add(name) for name in ('m1', 'm2'))
         await asyncio.sleep(SETTLED_S)
         source.server.is_silent = True
@@ -179,11 +179,11 @@
     """
 
     async def story() -> float:
-        world = World()
+        world = FakeCluster()
         place, _ = (world.add(name) for name in ('m1', 'm2'))
         await asyncio.sleep(SETTLED_S)
         key = place.maps.find(SERVICE).owned_by('m1')[0].keys.first
-        for each in world.places:
+        for each in world.members:
             each.store.is_away = is_away
         world.renew_server(place)
         wrong_s = 0.0
--- a/tests/holds/test_passing.py
+++ b/tests/holds/test_passing.py
@@ -14,7 +14,7 @@
     plan_transfers,
 )
 from plantaingrade.keyspace.entity import KEY_COUNT, KeyMap, KeyRange
-from tests.holds.fakes import CALL_S, Fault, World
+from tests.holds.fakes import CALL_S, FakeCluster, Fault
 from tests.virtual import run
 
 NAMES = ('m1', 'm2', 'm3')
@@ -25,16 +25,16 @@
 LOOK_S = 0.05
 
 
-def pieces_of(world: World) -> list[KeyRange]:
-    first = world.places[0].maps.find('cases').owned_by('m1')[0].keys.first
+def pieces_of(world: FakeCluster) -> list[KeyRange]:
+    first = world.members[0].maps.find('cases').owned_by('m1')[0].keys.first
     return [
         KeyRange(first + place * PIECE, first + (place + 1) * PIECE - 1)
         for place in range(PIECES)
     ]
 
 
-async def async_start() -> World:
-    world = World()
+async def async_start() -> FakeCluster:
+    world = FakeCluster()
     for name in NAMES:
         world.add(name)
     await asyncio.sleep(SETTLED_S)
@@ -42,14 +42,14 @@
     return world
 
 
-async def async_watch(world: World, seconds: float) -> None:
+async def async_watch(world: FakeCluster, seconds: float) -> None:
     for _ in range(int(seconds / LOOK_S)):
         await asyncio.sleep(LOOK_S)
         assert not world.overlaps()
 
 
-def owners(world: World, pieces: list[KeyRange]) -> list[str]:
-    key_map = world.places[0].maps.find('cases')
+def owners(world: FakeCluster, pieces: list[KeyRange]) -> list[str]:
+    key_map = world.members[0].maps.find('cases')
     return [key_map.find(piece.first).owner for piece in pieces]
 
 
@@ -60,11 +60,11 @@
         world = await async_start()
         pieces = pieces_of(world)
         versions = set()
-        world.places[0].maps.listen(
+        world.members[0].maps.listen(
             lambda _, key_map: versions.add(key_map.version)
         )
         gives = [
-            world.places[0].holds.async_transfer([piece], NAMES[1 + place % 2])
+            world.members[0].holds.async_transfer([piece], NAMES[1 + place % 2])
             for place, piece in enumerate(pieces)
         ]
         assert all(await asyncio.gather(*gives))
@@ -81,13 +81,13 @@
     async def story(fault: Fault) -> None:
         world = await async_start()
         pieces = pieces_of(world)
-        faults = world.places[0].store.faults
+        faults = world.members[0].store.faults
         faults.extend([fault, fault])
         for place, piece in enumerate(pieces):
-            world.move(world.places[0], piece, NAMES[1 + place % 2])
+            world.move(world.members[0], piece, NAMES[1 + place % 2])
         await async_watch(world, WATCHED_S)
         assert world.held_keys() == KEY_COUNT
-        moves = [move.result() for move in world.places[0].moves]
+        moves = [move.result() for move in world.members[0].moves]
         is_given = [owner != 'm1' for owner in owners(world, pieces)]
         assert moves == is_given
         await world.async_stop()
@@ -103,8 +103,8 @@
         world = await async_start()
         pieces = pieces_of(world)
         for place, piece in enumerate(pieces):
-            world.move(world.places[0], piece, NAMES[1 + place % 2])
-        moves = world.places[0].moves
+            world.move(world.members[0], piece, NAMES[1 + place % 2])
+        moves = world.members[0].moves
         while not moves[0].done():
             await asyncio.sleep(CALL_S / 2)
         moves[1].cancel()
@@ -119,7 +119,7 @@
 def test_a_range_that_stands_no_more_leaves_the_others_as_they_are() -> None:
     async def story() -> None:
         world = await async_start()
-        registry = world.places[0].holds.registry
+        registry = world.members[0].holds.registry
         own = registry.key_map.owned_by('m1')[0]
         other = registry.key_map.owned_by('m2')[0]
         transfers = [RangeTransfer((own,), 'm3'), RangeTransfer((other,), 'm3')]
@@ -142,7 +142,7 @@
 
     async def story() -> None:
         world = await async_start()
-        for place in world.places:
+        for place in world.members:
             place.relay.told.clear()
             own = place.maps.find('cases').owned_by(place.name)[0].keys
             keys = KeyRange(own.first, own.first + PIECE)
@@ -151,7 +151,7 @@
         await async_watch(world, WATCHED_S)
         told = sorted(
             (after.version, before.version)
-            for place in world.places
+            for place in world.members
             for before, after in place.relay.told
         )
         assert len(told) == len(NAMES)
--- a/tests/holds/test_promises.py
+++ b/tests/holds/test_promises.py
@@ -15,7 +15,7 @@
 from plantaingrade.keyspace.entity import KEY_COUNT
 from plantaingrade.peers.entity import Member
 from plantaingrade.store.clock import StoreClock
-from tests.holds.fakes import World
+from tests.holds.fakes import FakeCluster
 from tests.holds.test_coordinator import calm, disturb
 from tests.virtual import run
 
@@ -27,8 +27,8 @@
 TAKEOVER_S = 0.3 + 2 * len(NAMES) * SCAN_PERIOD_S * 1.5 / 2 + 0.5
 
 
-async def start() -> World:
-    world = World()
+async def start() -> FakeCluster:
+    world = FakeCluster()
     for name in NAMES:
         world.add(name)
     await asyncio.sleep(SETTLED_S)
@@ -36,7 +36,7 @@
     return world
 
 
-async def unheld_for(world: World, seconds: float) -> float:
+async def unheld_for(world: FakeCluster, seconds: float) -> float:
     """Return for how long keys were held by nobody; none twice."""
     unheld_s = 0.0
     for _ in range(int(seconds / LOOK_S)):
@@ -56,8 +56,8 @@
 
     async def story() -> None:
         world = await start()
-        world.kill(world.places[0])
-        world.places[0].server.is_up = False
+        world.kill(world.members[0])
+        world.members[0].server.is_up = False
         assert await unheld_for(world, LEASE_S + 10) < BASE_LEASE_S + TAKEOVER_S
         assert world.held_keys() == KEY_COUNT
         await world.async_stop()
@@ -75,10 +75,10 @@
 
     async def story() -> None:
         world = await start()
-        for place in world.places:
+        for place in world.members:
             place.store.is_away = True
         assert not await unheld_for(world, away_s)
-        for place in world.places:
+        for place in world.members:
             place.store.is_away = False
         assert not await unheld_for(world, LEASE_S)
         await world.async_stop()
@@ -91,7 +91,7 @@
 
     async def story() -> None:
         world = await start()
-        place = world.places[0]
+        place = world.members[0]
         place.store.is_away = True
         place.witnesses.is_cut = True
         unheld_s = await unheld_for(world, LEASE_S + 10)
@@ -108,7 +108,7 @@
 
     async def story() -> None:
         world = await start()
-        for place in world.places[:3]:
+        for place in world.members[:3]:
             world.kill(place)
             place.server.is_up = False
         unheld_s = await unheld_for(world, LEASE_S + 10)
@@ -131,7 +131,7 @@
 
     async def story() -> None:
         chooser = random.Random(seed)
-        world = World(seed)
+        world = FakeCluster(seed)
         for name in (*NAMES, 'm5'):
             world.add(name)
         await asyncio.sleep(SETTLED_S)
@@ -139,15 +139,15 @@
         for _ in range(40):
             disturb(world, chooser, kinds=11)
             if chooser.randrange(10) < 3:
-                place = chooser.choice(world.places)
+                place = chooser.choice(world.members)
                 place.witnesses.is_cut = not place.witnesses.is_cut
             if not chooser.randrange(10):
                 is_away = chooser.choice((False, True))
-                for place in world.places:
+                for place in world.members:
                     place.store.is_away = is_away
             await unheld_for(world, chooser.uniform(0.1, 2.0))
         calm(world)
-        for place in world.places:
+        for place in world.members:
             place.witnesses.is_cut = False
         await unheld_for(world, LEASE_S + 20)
         assert not world.fences_not_above()
--- a/tests/holds/test_renewals.py
+++ b/tests/holds/test_renewals.py
@@ -9,7 +9,7 @@
 
 from plantaingrade.holds.const import GRANT_PERIOD_S
 from plantaingrade.keyspace.entity import KeyRange
-from tests.holds.fakes import FakeServer, World
+from tests.holds.fakes import FakeCluster, FakeServer
 from tests.virtual import run
 
 MEMBERS = 4
@@ -27,12 +27,12 @@
         return grant(server, order, arrived)
 
     async def story() -> int:
-        world = World()
+        world = FakeCluster()
         for place in range(MEMBERS):
             world.add(f'm{place}')
         await asyncio.sleep(SETTLED_S)
         granted.clear()
-        source, bystander = world.places[0], world.places[-1]
+        source, bystander = world.members[0], world.members[-1]
         for _ in range(CHANGES):
             own = source.maps.find('cases').owned_by('m0')[0].keys
             world.move(source, KeyRange(own.first, own.first), 'm1')
--- a/tests/holds/test_store_away.py
+++ b/tests/holds/test_store_away.py
@@ -6,7 +6,7 @@
 
 from plantaingrade.holds.const import RENEW_S
 from plantaingrade.keyspace.entity import KEY_COUNT
-from tests.holds.fakes import World
+from tests.holds.fakes import FakeCluster
 from tests.virtual import run
 
 NAMES = ('m1', 'm2', 'm3')
@@ -15,8 +15,8 @@
 NOTICED_S = RENEW_S + 1.5
 
 
-def set_store(world: World, *, is_away: bool, is_refusing: bool) -> None:
-    for place in world.places:
+def set_store(world: FakeCluster, *, is_away: bool, is_refusing: bool) -> None:
+    for place in world.members:
         place.store.is_away = is_away
         place.store.is_refusing = is_refusing
 
@@ -31,7 +31,7 @@
     """
 
     async def story() -> None:
-        world = World()
+        world = FakeCluster()
         holds = [world.add(name) for name in NAMES][0].holds
         await asyncio.sleep(SETTLED_S)
         assert world.held_keys() == KEY_COUNT
@@ -54,7 +54,7 @@
     """The store goes away between two renewals, and the process is to stop."""
 
     async def story() -> None:
-        world = World()
+        world = FakeCluster()
         holds = [world.add(name) for name in NAMES][0].holds
         await asyncio.sleep(SETTLED_S)
         set_store(world, is_away=True, is_refusing=False)
--- a/tests/holds/test_store_copy.py
+++ b/tests/holds/test_store_copy.py
@@ -9,7 +9,7 @@
 from plantaingrade.holds.const import ESTIMATE_SLACK_S, LEASE_S
 from plantaingrade.holds.plans import plan_lease_migration, plan_new_fences
 from plantaingrade.keyspace.entity import KEY_COUNT, KeyRange
-from tests.holds.fakes import Fault, RowsCopy, World
+from tests.holds.fakes import FakeCluster, Fault, RowsCopy
 from tests.holds.test_coordinator import (
     LOOK_S,
     calm,
@@ -33,8 +33,8 @@
 REST_S = LEASE_S + 12.0
 
 
-async def start(seed: int = 0) -> World:
-    world = World(seed)
+async def start(seed: int = 0) -> FakeCluster:
+    world = FakeCluster(seed)
     for name in NAMES:
         world.add(name)
     await settled(world)
@@ -42,7 +42,7 @@
 
 
 async def come_back(
-    world: World, copy: RowsCopy, away_s: float = AWAY_S
+    world: FakeCluster, copy: RowsCopy, away_s: float = AWAY_S
 ) -> None:
     """Have the store go away, and come back from a copy."""
     world.set_store_away(True)
@@ -51,14 +51,14 @@
     world.set_store_away(False)
 
 
-async def lose_last(world: World, lost_s: float, away_s: float) -> None:
+async def lose_last(world: FakeCluster, lost_s: float, away_s: float) -> None:
     """Have the store come back without the last seconds."""
     copy = world.rows.copy()
     await watch(world, lost_s)
     await come_back(world, copy, away_s)
 
 
-async def assert_whole(world: World) -> None:
+async def assert_whole(world: FakeCluster) -> None:
     """Let all earlier leases end; then every key has one rightful owner."""
     await watch(world, REST_S)
     assert world.held_keys() == KEY_COUNT
@@ -98,7 +98,7 @@
     async def story() -> None:
         world = await start()
         copy = world.rows.copy()
-        source, target = world.places[:2]
+        source, target = world.members[:2]
         key = source.maps.find('cases').owned_by(source.name)[0].keys.first
         source.store.faults.append(Fault.LOST)
         world.move(source, KeyRange(key, key), target.name)
@@ -119,7 +119,7 @@
     async def story() -> None:
         world = await start()
         copy = world.rows.copy()
-        source, target = world.places[:2]
+        source, target = world.members[:2]
         given = source.maps.find('cases').owned_by(source.name)[0].keys
         world.move(source, given, target.name)
         await watch(world, 1.0)
@@ -141,7 +141,7 @@
     async def story() -> None:
         world = await start()
         copy = world.rows.copy()
-        source, target = world.places[:2]
+        source, target = world.members[:2]
         key = source.maps.find('cases').owned_by(source.name)[0].keys.first
         for _ in range(4):
             world.move(source, KeyRange(key, key), target.name)
@@ -150,7 +150,7 @@
             await watch(world, 0.5)
         await come_back(world, copy)
         await watch(world, REST_S)
-        for place in list(world.places):
+        for place in list(world.members):
             world.kill(place)
             world.replace_server(place)
             world.restart(place)
@@ -166,8 +166,8 @@
         world = await start()
         copy = world.rows.copy()
         await watch(world, 1.0)
-        world.kill(world.places[0])
-        world.places[0].server.is_up = False
+        world.kill(world.members[0])
+        world.members[0].server.is_up = False
         await watch(world, 1.0)
         await come_back(world, copy)
         await assert_whole(world)
@@ -189,10 +189,10 @@
         world.set_store_away(True)
         await watch(world, SHORT_AWAY_S)
         world.rows.come_back(copy)
-        for place in world.places[1:]:
+        for place in world.members[1:]:
             place.store.is_away = False
         await watch(world, turned_away_s)
-        world.places[0].store.is_away = False
+        world.members[0].store.is_away = False
         await assert_whole(world)
 
     run(story())
@@ -212,8 +212,8 @@
         for _ in range(5):
             world.rows.come_back(copy)
             if is_killed:
-                world.kill(world.places[0])
-                world.restart(world.places[0])
+                world.kill(world.members[0])
+                world.restart(world.members[0])
             await watch(world, LOOK_S * round(gap_s / LOOK_S))
             await asyncio.sleep(gap_s % LOOK_S)
         await watch(world, 2 * REST_S)
@@ -230,17 +230,17 @@
         copy = world.rows.copy()
         await watch(world, 2.0)
         world.set_store_away(True)
-        for place in world.places:
+        for place in world.members:
             world.kill(place)
             world.replace_server(place)
         await watch(world, AWAY_S)
         world.rows.come_back(copy)
-        for place in list(world.places):
+        for place in list(world.members):
             world.restart(place)
         world.set_store_away(False)
         unheld_s = await unheld_for(world, REST_S)
         assert unheld_s < LEASE_S + ESTIMATE_SLACK_S + FIRST_MAP_S
-        owners = {place.server.instance for place in world.places}
+        owners = {place.server.instance for place in world.members}
         assert {each.instance for each in world.servers if each.holds} == owners
         await assert_whole(world)
 
@@ -251,7 +251,7 @@
     """The store loses the start of all: rows, leases and the first map."""
 
     async def story() -> None:
-        world = World()
+        world = FakeCluster()
         copy = world.rows.copy()
         for name in NAMES:
             world.add(name)
@@ -299,7 +299,7 @@
     async def story() -> list[CommitResult]:
         world = await start()
         copy = world.rows.copy()
-        holder, starter = world.places[:2]
+        holder, starter = world.members[:2]
         world.kill(holder)
         world.kill(starter)
         again = world.restart(starter)
@@ -326,7 +326,7 @@
     """Processes start at any time, and lost members are replaced as ever."""
 
     async def story() -> None:
-        world = World()
+        world = FakeCluster()
         world.rows.tells_epochs = False
         await watch(world, 1.0)
         places = [world.add(name) for name in NAMES]
--- a/tests/holds/test_strangers.py
+++ b/tests/holds/test_strangers.py
@@ -32,7 +32,7 @@
 )
 from plantaingrade.peers.entity import Member
 from plantaingrade.store.entity import Row, RowName
-from tests.holds.fakes import SERVICE, World
+from tests.holds.fakes import SERVICE, FakeCluster
 from tests.strangers import ANY_JSON, BAD_BODIES, changed
 from tests.virtual import run
 
@@ -46,20 +46,20 @@
 GOOD_WISH = json.loads(encode_wish(WISH))
 
 
-def put(world: World, name: RowName, body: bytes) -> None:
+def put(world: FakeCluster, name: RowName, body: bytes) -> None:
     """Write a row as another writer does, past every condition."""
     world.rows.version += 1
     world.rows.row_by_name[name] = Row(name, body, world.rows.version)
 
 
-async def watch(world: World, seconds: float) -> None:
+async def watch(world: FakeCluster, seconds: float) -> None:
     for _ in range(int(seconds / LOOK_S)):
         await asyncio.sleep(LOOK_S)
         assert not world.overlaps()
 
 
-async def settled() -> World:
-    world = World()
+async def settled() -> FakeCluster:
+    world = FakeCluster()
     for name in NAMES:
         world.add(name)
     await asyncio.sleep(SETTLED_S)
@@ -188,17 +188,17 @@
 
     async def story() -> None:
         world = await settled()
-        before = world.places[0].maps.find(SERVICE)
+        before = world.members[0].maps.find(SERVICE)
         for key, body in rows:
             put(world, RowName(TABLE, SERVICE, key), body)
-        for place in world.places:
+        for place in world.members:
             registry = place.holds.registry
             assert await registry.async_read()
             assert set(NAMES) <= set(registry.rows.by_name)
             assert place.maps.find(SERVICE).version == before.version
         await watch(world, 2 * HOLD_S)
         assert world.held_keys() == KEY_COUNT
-        for place in world.places:
+        for place in world.members:
             assert not place.task.done()
         await world.async_stop()
 
@@ -219,8 +219,8 @@
         put(world, member_row(SERVICE, 'm1'), body)
         await watch(world, LEASE_S + 10)
         assert world.held_keys() == KEY_COUNT
-        assert world.places[1].maps.find(SERVICE).owned_by('m1')
-        registry = world.places[0].holds.registry
+        assert world.members[1].maps.find(SERVICE).owned_by('m1')
+        registry = world.members[0].holds.registry
         assert registry.is_joined
         await world.async_stop()
 
@@ -237,16 +237,16 @@
 
     async def story() -> None:
         world = await settled()
-        for place in world.places[:2]:
+        for place in world.members[:2]:
             world.kill(place)
             place.server.is_up = False
         await asyncio.sleep(1)
         put(world, member_row(SERVICE, 'm1'), b'[]')
         await watch(world, LEASE_S + 6)
-        key_map = world.places[2].maps.find(SERVICE)
+        key_map = world.members[2].maps.find(SERVICE)
         assert not key_map.owned_by('m2')
         await watch(world, MAX_LEASE_LEFT_S + 6)
-        key_map = world.places[2].maps.find(SERVICE)
+        key_map = world.members[2].maps.find(SERVICE)
         assert key_map.owners() == {'m3'}
         assert world.held_keys() == KEY_COUNT
         await world.async_stop()
@@ -264,8 +264,8 @@
         world = await settled()
         body = encode_member_row(MemberRow(MEMBER, 1e9, 'b9.1'))
         put(world, member_row(SERVICE, 'm9'), body)
-        world.kill(world.places[0])
-        world.places[0].server.is_up = False
+        world.kill(world.members[0])
+        world.members[0].server.is_up = False
         await watch(world, LEASE_S + 10)
         assert world.held_keys() == KEY_COUNT
         await world.async_stop()
@@ -284,7 +284,7 @@
         world = await settled()
         put(world, map_row(SERVICE), b'nonsense')
         overwritten = world.rows.version
-        place = world.places[0]
+        place = world.members[0]
         before = place.store.commits
         world.renew_server(place)
         await watch(world, 4.0)
--- a/tests/holds/test_turns.py
+++ b/tests/holds/test_turns.py
@@ -15,7 +15,7 @@
     ConflictBackoff,
 )
 from plantaingrade.keyspace.entity import KEY_COUNT
-from tests.holds.fakes import World
+from tests.holds.fakes import FakeCluster
 from tests.virtual import run
 
 MEMBERS = 60
@@ -30,23 +30,23 @@
 
 def test_members_that_come_back_together_hold_their_keys_soon() -> None:
     async def story() -> tuple[float, int]:
-        world = World()
+        world = FakeCluster()
         world.rows.turn_s = TURN_S
         for place in range(MEMBERS):
             world.add(f'm{place}')
         await asyncio.sleep(SETTLED_S)
         assert world.held_keys() == KEY_COUNT
-        for place in list(world.places):
+        for place in list(world.members):
             world.kill(place)
             world.renew_server(place)
-        for place in list(world.places):
+        for place in list(world.members):
             world.restart(place)
-        before = sum(place.store.commits for place in world.places)
+        before = sum(place.store.commits for place in world.members)
         began = asyncio.get_running_loop().time()
         while world.held_keys() < KEY_COUNT:
             await asyncio.sleep(LOOK_S)
         response_s = asyncio.get_running_loop().time() - began
-        commits = sum(place.store.commits for place in world.places)
+        commits = sum(place.store.commits for place in world.members)
         await world.async_stop()
         return response_s, commits - before
 
--- a/tests/holds/test_unheld.py
+++ b/tests/holds/test_unheld.py
@@ -8,7 +8,7 @@
     UnheldRanges,
 )
 from plantaingrade.keyspace.entity import KeyRange
-from tests.holds.fakes import World
+from tests.holds.fakes import FakeCluster
 from tests.virtual import run
 
 HOT = KeyRange(100, 199)
@@ -37,7 +37,7 @@
     """
 
     async def story() -> list[bool]:
-        world = World()
+        world = FakeCluster()
         places = [world.add(name) for name in ('m1', 'm2')]
         await asyncio.sleep(6.0)
         source = places[0].holds
