--- a/plantaingrade/holds/migration.py
+++ b/plantaingrade/holds/migration.py
@@ -1,10 +1,9 @@
 """Migrate a lease to a new epoch of the store. Pure.
 
-Load and failure: the store is restored from a snapshot and has lost its last
-seconds of writes. Within its epoch a lease is exclusive whatever the store has
-lost. Its member knows each range that it transferred itself, and nobody else
-could have transferred one. So whatever it owns according to its own knowledge
-stays its own until the lease ends.
+Failure: the store is restored from a snapshot and has lost its last seconds of
+writes. A lease remains exclusive in spite of that: its member knows each range
+that it transferred itself, and nobody else could have transferred one. So the
+keys that it owns to its own knowledge stay its own until the lease ends.
 """
 
 from collections.abc import Iterable
--- a/tests/holds/connections.py
+++ b/tests/holds/connections.py
@@ -1,7 +1,7 @@
-"""A server in memory that takes orders over connections, as real ones do.
+"""Fake server that receives orders over in-memory connections.
 
-The sessions, connections and the parser are the product's own; only the bytes
-go from one end to the other without sockets, so that virtual time holds.
+Sessions, connections and the parser are the real ones; only the bytes are
+passed on without sockets, so that virtual time applies.
 """
 
 import asyncio
@@ -29,34 +29,34 @@
 ORDER_S = 0.001
 STATUS_OK = 200
 STATUS_CONFLICT = 409
-LOOK_S = 0.02
+POLL_S = 0.02
 
 
-class NearTransport:
-    """One end of a connection in memory."""
+class MemoryTransport:
+    """One end of an in-memory connection."""
 
     def __init__(self, own: Channel) -> None:
-        """Serve one end; it is joined with the other later."""
-        self._own = own
+        """Serve one end; the other end is set later."""
+        self._channel = own
         self._is_closing = False
-        self.other: NearTransport | None = None
+        self.peer: MemoryTransport | None = None
 
     def write(self, data: bytes) -> None:  # noqa: WPS110
-        """Hand bytes to the other end."""
-        self._later(self._send, data)
+        """Send bytes to the other end."""
+        self._call_soon(self._send, data)
 
     def close(self) -> None:
-        """Close after what was written has arrived."""
+        """Close after written bytes have arrived."""
         if not self._is_closing:
             self._is_closing = True
-            self._later(self._end)
+            self._call_soon(self._end)
 
     def abort(self) -> None:
         """Close at once."""
         self.close()
 
     def is_closing(self) -> bool:
-        """Tell whether nothing more can be written."""
+        """Return whether nothing more can be written."""
         return self._is_closing
 
     def get_extra_info(self, _: str) -> None:
@@ -68,57 +68,58 @@
     def resume_reading(self) -> None:
         """Do nothing: messages are short."""
 
-    def _later(self, call: Any, *args: Any) -> None:
+    def _call_soon(self, call: Any, *args: Any) -> None:
         asyncio.get_running_loop().call_soon(call, *args)
 
     def _send(self, data: bytes) -> None:  # noqa: WPS110
-        if self.other is not None and not self.other.is_closing():
-            self.other._own.data_received(data)
+        if self.peer is not None and not self.peer.is_closing():
+            self.peer._channel.data_received(data)
 
     def _end(self) -> None:
-        self._own.connection_lost(None)
-        other = self.other
-        if other is not None and not other.is_closing():
-            other._own.eof_received()
-            other.close()
+        self._channel.connection_lost(None)
+        peer = self.peer
+        if peer is not None and not peer.is_closing():
+            peer._channel.eof_received()
+            peer.close()
 
 
-class NearPool(Pool):
-    """Connections to whatever listens in memory."""
+class MemoryPool(Pool):
+    """Connections to an in-memory listener."""
 
     def __init__(self) -> None:
-        """Know nobody who listens."""
+        """Start without a listener."""
         super().__init__(LoopClock())
         self.listener: HttpServer | None = None
 
     async def connect(self, address: str) -> Channel:
-        """Make a connection."""
+        """Open a connection."""
         await asyncio.sleep(ORDER_S)
         if self.listener is None:
             raise ConnectFailedError('Nobody listens.')
-        far = self.listener._accept()
-        near = Channel(Role.CLIENT, LoopClock())
-        near_end = NearTransport(near)
-        far_end = NearTransport(far)
-        near_end.other = far_end
-        far_end.other = near_end
-        near.connection_made(near_end)
-        far.connection_made(far_end)
+        server_side = self.listener._accept()
+        client = Channel(Role.CLIENT, LoopClock())
+        client_end = MemoryTransport(client)
+        server_end = MemoryTransport(server_side)
+        client_end.peer = server_end
+        server_end.peer = client_end
+        client.connection_made(client_end)
+        server_side.connection_made(server_end)
         self.opened += 1
-        return near
+        return client
 
 
-class OrderedServer:
-    """Take grants over connections and carry them out at a fake server.
+class OrderEndpoint:
+    """Receives orders over connections and executes them at a fake server.
 
-    ``close_share`` of the answers bear ``Connection: close``; with another
-    ``status`` than 200 every grant is rejected; an order takes ``order_s``.
+    A share ``close_share`` of the responses has ``Connection: close``. With
+    another ``status`` than 200 every grant is rejected. An order takes
+    ``order_s``.
     """
 
     def __init__(self, server: FakeServer) -> None:
-        """Answer at once and keep connections."""
+        """Answer at once and keep connections open."""
         self._server = server
-        self._chooser = random.Random(1)
+        self._rng = random.Random(1)
         self.close_share = 0.0
         self.status = STATUS_OK
         self.order_s = ORDER_S
@@ -137,7 +138,7 @@
             self.grants += 1
             if status == STATUS_OK:
                 status = self._grant(json.loads(body), arrived)
-        if self._chooser.random() < self.close_share:
+        if self._rng.random() < self.close_share:
             channel.last_answer = True
         send_answer(channel, Answer(status, (), b''))
 
@@ -148,23 +149,23 @@
         return STATUS_OK if isinstance(outcome, Accepted) else STATUS_CONFLICT
 
 
-def connect(place: FakeMember) -> OrderedServer:
-    """Have a member order its server over connections."""
-    pool = NearPool()
-    ordered = OrderedServer(place.server)
-    pool.listener = ordered.http
+def connect(member: FakeMember) -> OrderEndpoint:
+    """Let a member send orders to its server over connections."""
+    pool = MemoryPool()
+    endpoint = OrderEndpoint(member.server)
+    pool.listener = endpoint.http
     orders = OrderClient(pool, ADDRESS)
-    granter = place.holds.granter
+    granter = member.holds.granter
     orders.listen(granter._on_retry)
     granter._orders = orders
     granter.opener._orders = orders
-    return ordered
+    return endpoint
 
 
-async def interleave(world: FakeCluster, ranges: int) -> None:
+async def interleave_ranges(cluster: FakeCluster, ranges: int) -> None:
     """Divide all keys so that each of two members has this many ranges."""
-    place = world.members[0]
-    names = [each.name for each in world.members[:2]]
+    member = cluster.members[0]
+    names = [each.name for each in cluster.members[:2]]
 
     def plan(registry: Registry) -> Change:
         fence = registry.key_map.fence + 1
@@ -174,21 +175,21 @@
         )
         return Change(KeyMap(pieces, fence, registry.key_map.version))
 
-    await place.holds.registry.async_commit(plan, 1.0)
-    owned = place.maps.find(SERVICE).owned_by(place.name)
+    await member.holds.registry.async_commit(plan, 1.0)
+    owned = member.maps.find(SERVICE).owned_by(member.name)
     assert len(owned) == ranges
 
 
-async def held_share(place: FakeMember, seconds: float) -> float:
-    """Return the share of looks at which the own ranges were held."""
-    looks = 0
+async def held_share(member: FakeMember, seconds: float) -> float:
+    """Return the share of samples in which the own ranges were held."""
+    samples = 0
     held = 0
-    for _ in range(int(seconds / LOOK_S)):
-        await asyncio.sleep(LOOK_S)
-        for each in place.maps.find(SERVICE).owned_by(place.name):
-            looks += 1
-            held += place.holds.is_held(each.keys.first)
-    return held / looks
+    for _ in range(int(seconds / POLL_S)):
+        await asyncio.sleep(POLL_S)
+        for each in member.maps.find(SERVICE).owned_by(member.name):
+            samples += 1
+            held += member.holds.is_held(each.keys.first)
+    return held / samples
 
 
 def _keys(fields: dict[str, Any]) -> KeyRange:
--- a/tests/holds/fakes.py
+++ b/tests/holds/fakes.py
@@ -1,4 +1,4 @@
-"""A store and servers in memory, on a virtual clock, that fail on request."""
+"""Fake store, servers and members on a virtual clock, with faults."""
 
 import asyncio
 import os
@@ -63,13 +63,13 @@
 SERVICE = 'cases'
 CALL_S = 0.01
 CALL_LIMIT_S = 1.0
-# The store's clock and those of instances do not start together.
-STORE_AHEAD_S = 777.0
-LIFE_BITS = 32
+# The store's clock differs from those of instances.
+STORE_CLOCK_OFFSET_S = 777.0
+INSTANCE_BITS = 32
 
 
 class Fault(StrEnum):
-    """What becomes of one call."""
+    """Fault of one store call."""
 
     NONE = 'none'
     BUSY = 'busy'
@@ -79,8 +79,8 @@
 
 
 @dataclass(slots=True)
-class RowsCopy:
-    """All rows as they were at one moment."""
+class RowsSnapshot:
+    """All rows at one moment."""
 
     row_by_name: dict[RowName, Row]
     version: int
@@ -90,38 +90,38 @@
     """Rows of one service, shared by all members."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Start without rows."""
         self.row_by_name: dict[RowName, Row] = {}
         self.version = 0
         self.epoch = 0
-        # A store that never goes back may tell no epochs at all.
-        self.tells_epochs = True
-        # How long the part works on one transaction, before the next.
+        # A store that is never restored may report no epochs at all.
+        self.reports_epochs = True
+        # Time that the part of the store needs for one transaction.
         self.turn_s = 0.0
         self._free_at = 0.0
 
-    def copy(self) -> RowsCopy:
-        """Return all rows as they are now."""
-        return RowsCopy(dict(self.row_by_name), self.version)
+    def snapshot(self) -> RowsSnapshot:
+        """Return a snapshot of all rows."""
+        return RowsSnapshot(dict(self.row_by_name), self.version)
 
-    def come_back(self, copy: RowsCopy) -> None:
-        """Lose all that was written since a copy was made.
+    def restore(self, snapshot: RowsSnapshot) -> None:
+        """Restore a snapshot, and lose all later writes.
 
-        Versions are given out again.
+        Their versions are assigned again.
         """
-        self.row_by_name = dict(copy.row_by_name)
-        self.version = copy.version
+        self.row_by_name = dict(snapshot.row_by_name)
+        self.version = snapshot.version
         self.epoch += 1
 
     async def async_take_turn(self) -> None:
-        """Wait until the part has worked on all that came before."""
+        """Wait until all earlier transactions are processed."""
         if not self.turn_s:
             return
         self._free_at = max(self._free_at, _now()) + self.turn_s
         await asyncio.sleep(self._free_at - _now())
 
     def commit(self, transaction: Transaction) -> bool:
-        """Apply a transaction or nothing of it."""
+        """Apply a transaction completely or not at all."""
         for each in transaction.expected:
             if self._version_of(each.name) != number_of(each.version):
                 return False
@@ -133,13 +133,13 @@
         return True
 
     def expected_rows(self, transaction: Transaction) -> tuple[Row, ...]:
-        """Return the rows that a transaction expected, as they stand."""
+        """Return the current rows that a transaction expected."""
         names = [each.name for each in transaction.expected]
-        return self.told(
+        return self.versioned(
             self.row_by_name[name] for name in names if name in self.row_by_name
         )
 
-    def told(self, rows: Iterable[Row]) -> tuple[Row, ...]:
+    def versioned(self, rows: Iterable[Row]) -> tuple[Row, ...]:
         """Return rows with the versions that they have in this epoch."""
         return tuple(
             replace(row, version=make_version(self.epoch, row.version))
@@ -147,8 +147,8 @@
         )
 
     @property
-    def told_version(self) -> int:
-        """Return the newest version of this epoch."""
+    def latest_version(self) -> int:
+        """Return the latest version of this epoch."""
         return self.epoch * VERSIONS_PER_EPOCH + self.version
 
     def _version_of(self, name: RowName) -> int:
@@ -157,20 +157,20 @@
 
 
 class FakeStore:
-    """One member's way to the rows."""
+    """One member's access to the rows."""
 
     def __init__(self, rows: FakeRows) -> None:
-        """Use shared rows; nothing fails.
+        """Use shared rows, without faults.
 
-        ``faults`` are those of the next transactions that change the map. A
-        store ``is_away`` answers nothing; one that ``is_refusing`` says at
-        once that it has done nothing.
+        ``faults`` apply to the next transactions that change the map. A store
+        that ``is_unavailable`` answers nothing; one that ``is_refusing``
+        answers at once that it has done nothing.
         """
         self.rows = rows
         self.clock = StoreClock()
         self.epochs = StoreEpochs()
         self.faults: deque[Fault] = deque()
-        self.is_away = False
+        self.is_unavailable = False
         self.is_refusing = False
         self.late_s = 3.0
         self.commits = 0
@@ -202,7 +202,7 @@
         epoch = self.rows.epoch
         now_s = _store_now()
         if done:
-            outcome = Committed(self.rows.told_version, now_s)
+            outcome = Committed(self.rows.latest_version, now_s)
         else:
             outcome = Conflict(self.rows.expected_rows(transaction), now_s)
         await asyncio.sleep(CALL_S)
@@ -217,7 +217,7 @@
         self.reads += 1
         sent_at = _now()
         await asyncio.sleep(CALL_S)
-        if self.is_away:
+        if self.is_unavailable:
             await asyncio.sleep(CALL_LIMIT_S)
             return NotDone(StoreFailure.NOT_REACHED)
         rows = tuple(
@@ -225,8 +225,10 @@
             for name, row in self.rows.row_by_name.items()
             if (name.table, name.part) == (table, part)
         )
-        told = self.rows.told(rows)
-        outcome = RangeRead(told, self.rows.told_version, _store_now())
+        versioned_rows = self.rows.versioned(rows)
+        outcome = RangeRead(
+            versioned_rows, self.rows.latest_version, _store_now()
+        )
         await asyncio.sleep(CALL_S)
         self._note(outcome.epoch)
         if outcome.epoch < self.epochs.newest:
@@ -237,16 +239,16 @@
     async def async_follow(
         self, table: str, after: int, wait_s: float
     ) -> FeedOutcome:
-        """Tell of no change."""
+        """Report no change."""
         await asyncio.sleep(wait_s)
         return Changes((), after, _store_now())
 
     def _note(self, epoch: int) -> None:
-        if self.rows.tells_epochs:
+        if self.rows.reports_epochs:
             self.epochs.note(epoch)
 
     def _fault_of(self, transaction: Transaction) -> Fault:
-        if self.is_away:
+        if self.is_unavailable:
             return Fault.SILENT
         if self.is_refusing:
             return Fault.BUSY
@@ -258,7 +260,7 @@
 
 @dataclass(slots=True)
 class FakeHold:
-    """Keys held until a time, under a fence."""
+    """Keys held under a fence until a time."""
 
     keys: KeyRange
     fence: int
@@ -267,7 +269,10 @@
 
 @dataclass(slots=True)
 class FakeServer:
-    """One life of a server; its holds last longest by a slow clock."""
+    """One incarnation of a server.
+
+    Its clock is slow, so its holds last for the longest possible time.
+    """
 
     instance: str
     holds: list[FakeHold] = field(default_factory=list)
@@ -276,18 +281,18 @@
     is_silent: bool = False
     late_share: float = 0.0
     warm: list[KeyRange] = field(default_factory=list)
-    chooser: random.Random = field(default_factory=random.Random)
+    rng: random.Random = field(default_factory=random.Random)
     clock_rate: float = 1.02
-    others: 'list[FakeServer]' = field(default_factory=list)
-    not_above: list[str] = field(default_factory=list)
+    peers: 'list[FakeServer]' = field(default_factory=list)
+    stale_grants: list[str] = field(default_factory=list)
 
     def grant(self, grant: Grant, arrived: float) -> OrderOutcome:
-        """Carry a grant out; its time counts from its arrival."""
+        """Execute a grant; its hold runs from its arrival."""
         for keys, fence in self.fences:
             if keys.overlap(grant.keys) and fence > grant.fence:
                 return Outranked()
         until = arrived + grant.hold_s * self.clock_rate
-        # One that is carried out after its time holds nothing.
+        # A grant that is executed too late holds nothing.
         if until > _now():
             self._check_fence(grant)
         if (grant.keys, grant.fence) not in self.fences:
@@ -299,7 +304,7 @@
         return Accepted()
 
     def drop(self, keys: KeyRange) -> None:
-        """Hold a range no more."""
+        """Release a range."""
         self.holds = [
             FakeHold(rest, hold.fence, hold.until)
             for hold in self.holds
@@ -307,10 +312,10 @@
         ]
 
     def _check_fence(self, grant: Grant) -> None:
-        """Note a fence that is not above all of other lives on these keys."""
-        self.not_above.extend(
+        """Record a grant whose fence is not above all of other incarnations."""
+        self.stale_grants.extend(
             f'{grant} at {self.instance}: {other.instance} had {fence}'
-            for other in self.others
+            for other in self.peers
             for keys, fence in other.fences
             if other is not self
             and keys.overlap(grant.keys)
@@ -318,38 +323,37 @@
         )
 
     def held(self, now: float) -> list[FakeHold]:
-        """Return the holds that last."""
+        """Return the holds that are in force."""
         return [hold for hold in self.holds if hold.until > now]
 
 
 class FakeOrders:
-    """Orders to whatever life of the server there is."""
+    """Orders to the current incarnation of the server."""
 
     def __init__(self, server: FakeServer) -> None:
         """Order one server.
 
-        With ``is_sign_lost`` the end of a life does not show at the
-        connections to it: they have fallen silent, or another order took
-        the last one.
+        With ``hides_disconnect`` the connections don't show that an incarnation
+        has ended: they are silent, or another order has taken the last one.
         """
         self.server = server
-        self.is_sign_lost = False
+        self.hides_disconnect = False
         self._connected_to: FakeServer | None = None
         self._sessions = 0
 
     @property
     def session(self) -> int:
-        """Return the number of the session in force."""
+        """Return the number of the current session."""
         server = self._connected_to
         if server is None:
             return 0
-        return self._sessions if server.is_up or self.is_sign_lost else 0
+        return self._sessions if server.is_up or self.hides_disconnect else 0
 
     def listen(self, on_over: Callable[[], None]) -> None:
-        """Tell of no end: what is built on it must hold without."""
+        """Report no ended session: callers must not depend on it."""
 
     async def async_open(self) -> bool:
-        """Connect to the present life."""
+        """Connect to the current incarnation."""
         if self.session:
             return True
         await asyncio.sleep(CALL_S)
@@ -361,21 +365,21 @@
 
     @asynccontextmanager
     async def turn(self, session: int) -> AsyncIterator['FakeTurn']:
-        """Use the session."""
+        """Reserve a connection of the session."""
         server = self._connected_to
         if self.session != session or server is None:
             raise NoSessionError('The session is over.')
         yield FakeTurn(self, server)
 
     def drop(self, server: FakeServer) -> None:
-        """End the session with a life after an order without answer."""
+        """End the session with a server after an unanswered order."""
         if self._connected_to is server:
             self._connected_to = None
 
     async def async_release(
         self, release: Release, limit_s: float
     ) -> OrderOutcome:
-        """Take a range back."""
+        """Release a range."""
         server = self.server
         await asyncio.sleep(CALL_S)
         if not server.is_up:
@@ -399,10 +403,10 @@
 
 
 class FakeTurn:
-    """Grants to one life."""
+    """Grants to one incarnation."""
 
     def __init__(self, orders: FakeOrders, server: FakeServer) -> None:
-        """Use a connection to a life that may be over by now."""
+        """Use a connection to an incarnation that may have ended."""
         self._orders = orders
         self._server = server
 
@@ -415,29 +419,29 @@
             await asyncio.sleep(limit_s)
             self._orders.drop(server)
             return Unanswered()
-        if server.chooser.random() < server.late_share:
-            delay_s = server.chooser.uniform(2.0, 12.0)
+        if server.rng.random() < server.late_share:
+            delay_s = server.rng.uniform(2.0, 12.0)
             loop = asyncio.get_running_loop()
-            loop.call_later(delay_s, _carry_out, server, grant, arrived)
+            loop.call_later(delay_s, _execute, server, grant, arrived)
             await asyncio.sleep(limit_s)
             self._orders.drop(server)
             return Unanswered()
         return server.grant(grant, arrived)
 
 
-def _carry_out(server: FakeServer, grant: Grant, arrived: float) -> None:
+def _execute(server: FakeServer, grant: Grant, arrived: float) -> None:
     if server.is_up:
         server.grant(grant, arrived)
 
 
-class FakeCourier:
-    """Tell the other members of changes, or lose the word."""
+class FakeRelay:
+    """Notifies the other members of changes, and may lose messages."""
 
-    def __init__(self, world: 'FakeCluster', own: str) -> None:
+    def __init__(self, cluster: 'FakeCluster', own: str) -> None:
         """Send on behalf of one member."""
-        self._world = world
+        self._cluster = cluster
         self._own = own
-        self.told: list[tuple[KeyMap, KeyMap]] = []
+        self.broadcasts: list[tuple[KeyMap, KeyMap]] = []
 
     def spread(
         self,
@@ -446,12 +450,14 @@
         after: KeyMap,
         skipped: Collection[str] = (),
     ) -> None:
-        """Tell every member."""
-        self.told.append((before, after))
-        for place in self._world.members:
-            is_told = place.name != self._own and place.name not in skipped
-            if is_told and self._world.is_heard():
-                place.maps.offer(service, after)
+        """Notify every member."""
+        self.broadcasts.append((before, after))
+        for member in self._cluster.members:
+            is_notified = (
+                member.name != self._own and member.name not in skipped
+            )
+            if is_notified and self._cluster.is_delivered():
+                member.maps.offer(service, after)
 
     async def async_hand(
         self,
@@ -460,44 +466,44 @@
         after: KeyMap,
         tokens: tuple[Token, ...],
     ) -> None:
-        """Tell the member that got keys."""
+        """Notify the member that receives keys."""
         await asyncio.sleep(CALL_S)
-        for place in self._world.members:
-            if place.name == target and self._world.is_heard():
-                place.maps.offer(SERVICE, after)
+        for member in self._cluster.members:
+            if member.name == target and self._cluster.is_delivered():
+                member.maps.offer(SERVICE, after)
                 for token in tokens:
-                    place.holds.expect_handover(token)
+                    member.holds.expect_handover(token)
 
 
 class FakeWitnesses:
-    """Witnesses among the other members; words to and from them are lost."""
+    """Witnesses among the other members; messages may be lost."""
 
-    def __init__(self, world: 'FakeCluster', own: str, boot: str) -> None:
-        """Answer for one run of a member."""
-        self._world = world
+    def __init__(self, cluster: 'FakeCluster', own: str, boot: str) -> None:
+        """Act as a witness for one run of a member."""
+        self._cluster = cluster
         self._own = own
-        # No question of this member arrives.
-        self.is_cut = False
-        self.book = WitnessState(boot)
+        # Whether requests of this member are lost.
+        self.is_cut_off = False
+        self.state = WitnessState(boot)
 
     def choose(self) -> tuple[Witness, ...]:
-        """Name up to three others that run."""
+        """Return up to three other running members."""
         return tuple(
-            Witness(place.name, place.witnesses.book.boot)
-            for place in self._world.members
-            if place.name != self._own and place.task is not None
+            Witness(member.name, member.witnesses.state.boot)
+            for member in self._cluster.members
+            if member.name != self._own and member.task is not None
         )[:WITNESS_COUNT]
 
     async def async_ask(
         self, witness: Witness, question: WitnessRequest
     ) -> bool:
-        """Ask one; either way may be lost, or take long."""
+        """Ask one; the request or the response may be lost or slow."""
         await asyncio.sleep(CALL_S)
-        if self.is_cut or not self._world.is_heard():
+        if self.is_cut_off or not self._cluster.is_delivered():
             await asyncio.sleep(CALL_LIMIT_S / 2)
             return False
-        is_agreed = self._world.decide(witness, question)
-        if not self._world.is_heard():
+        is_agreed = self._cluster.decide(witness, question)
+        if not self._cluster.is_delivered():
             await asyncio.sleep(CALL_LIMIT_S / 2)
             return False
         await asyncio.sleep(CALL_S)
@@ -515,7 +521,7 @@
     life: BackendLife
     orders: FakeOrders
     holds: HoldCoordinator
-    relay: FakeCourier
+    relay: FakeRelay
     witnesses: FakeWitnesses
     task: asyncio.Task[None] | None = None
     moves: list[asyncio.Task[bool]] = field(default_factory=list)
@@ -525,101 +531,101 @@
     """Members of one service around shared rows."""
 
     def __init__(self, seed: int = 0) -> None:
-        """Start with nobody."""
+        """Start without members."""
         self.rows = FakeRows()
         self.members: list[FakeMember] = []
-        self.lost_word_share = 0.0
+        self.lost_message_share = 0.0
         self.servers: list[FakeServer] = []
         self._random = random.Random(seed)
-        self._began_at = _now()
+        self._started_at = _now()
         self._boots = 0
         self._log = EventLog(
             'fake', LoopClock(), os.open(os.devnull, os.O_WRONLY)
         )
 
-    def is_heard(self) -> bool:
-        """Tell whether the next word arrives."""
-        return self._random.random() >= self.lost_word_share
+    def is_delivered(self) -> bool:
+        """Return whether the next message is delivered."""
+        return self._random.random() >= self.lost_message_share
 
     def decide(self, witness: Witness, question: WitnessRequest) -> bool:
-        """Have the run of a member that is named answer, if it still runs."""
-        for place in self.members:
-            if place.name != witness.name or place.task is None:
+        """Return the answer of a witness, false if that run has ended."""
+        for member in self.members:
+            if member.name != witness.name or member.task is None:
                 continue
             match question:
                 case PromiseRequest():
-                    return place.witnesses.book.on_promise_request(
+                    return member.witnesses.state.on_promise_request(
                         question, _now()
                     )
                 case ExpiryRequest():
-                    return place.witnesses.book.on_expiry_request(
+                    return member.witnesses.state.on_expiry_request(
                         question, _now()
                     )
         return False
 
-    def set_store_away(self, is_away: bool) -> None:
-        """Take the store away from all members, or give it back."""
-        for place in self.members:
-            place.store.is_away = is_away
+    def set_store_unavailable(self, is_unavailable: bool) -> None:
+        """Make the store unavailable or available for all members."""
+        for member in self.members:
+            member.store.is_unavailable = is_unavailable
 
     def add(self, name: str) -> FakeMember:
         """Add a member with a new server, and start it.
 
         Members that are added before any time has passed start together.
         """
-        is_first = _now() == self._began_at
-        place = self._make(name, self.add_server(), starts_with_all=is_first)
-        self.members.append(place)
-        return place
-
-    def kill(self, place: FakeMember) -> None:
-        """End a member's process; its server goes on."""
-        if place.task is not None:
-            place.task.cancel()
-            place.task = None
-        for move in place.moves:
+        is_first = _now() == self._started_at
+        member = self._make(name, self.add_server(), starts_with_all=is_first)
+        self.members.append(member)
+        return member
+
+    def kill(self, member: FakeMember) -> None:
+        """End a member's process; its server continues."""
+        if member.task is not None:
+            member.task.cancel()
+            member.task = None
+        for move in member.moves:
             move.cancel()
 
-    def move(self, place: FakeMember, keys: KeyRange, target: str) -> None:
-        """Give a range away, beside all else that goes on."""
-        give = place.holds.async_transfer([keys], target)
+    def move(self, member: FakeMember, keys: KeyRange, target: str) -> None:
+        """Start a transfer of a range."""
+        give = member.holds.async_transfer([keys], target)
         move = asyncio.get_running_loop().create_task(give)
-        place.moves.append(move)
-
-    def restart(self, place: FakeMember) -> FakeMember:
-        """Start a new run of a member beside the same server."""
-        again = self._make(place.name, place.server, place.store)
-        self.members[self.members.index(place)] = again
-        return again
-
-    def renew_server(self, place: FakeMember) -> None:
-        """Crash a server; another life of it starts."""
-        self.replace_server(place)
-        place.life.on_named(place.server.instance, _now())
-        place.holds.on_new_incarnation()
-
-    def replace_server(self, place: FakeMember) -> None:
-        """Crash a server; another life of it starts, and nobody is told."""
-        place.server.is_up = False
-        place.server.holds.clear()
-        place.server = self.add_server()
-        place.orders.server = place.server
+        member.moves.append(move)
+
+    def restart(self, member: FakeMember) -> FakeMember:
+        """Start a new run of a member with the same server."""
+        restarted = self._make(member.name, member.server, member.store)
+        self.members[self.members.index(member)] = restarted
+        return restarted
+
+    def restart_server(self, member: FakeMember) -> None:
+        """Crash a server and report the start of its next incarnation."""
+        self.restart_server_unannounced(member)
+        member.life.on_named(member.server.instance, _now())
+        member.holds.on_new_incarnation()
+
+    def restart_server_unannounced(self, member: FakeMember) -> None:
+        """Crash a server and start its next incarnation, unreported."""
+        member.server.is_up = False
+        member.server.holds.clear()
+        member.server = self.add_server()
+        member.orders.server = member.server
 
     def overlaps(self) -> list[str]:
         """Return the keys that two servers hold now."""
         now = _now()
         found = []
-        for place, one in enumerate(self.servers):
-            for other in self.servers[place + 1 :]:
+        for index, one in enumerate(self.servers):
+            for other in self.servers[index + 1 :]:
                 found.extend(_overlaps(one, other, now))
         return found
 
-    def fences_not_above(self) -> list[str]:
-        """Return the grants whose fences other lives had, or higher ones."""
-        return [note for server in self.servers for note in server.not_above]
+    def stale_fence_grants(self) -> list[str]:
+        """Return grants under fences not above other incarnations' fences."""
+        return [note for server in self.servers for note in server.stale_grants]
 
     def held_keys(self) -> int:
-        """Return how many keys are held now."""
+        """Return the number of keys that are held now."""
         now = _now()
         return sum(
             len(hold.keys)
@@ -629,16 +635,18 @@
         )
 
     async def async_stop(self) -> None:
-        """End every member."""
-        tasks = [place.task for place in self.members if place.task is not None]
+        """Stop every member."""
+        tasks = [
+            member.task for member in self.members if member.task is not None
+        ]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def add_server(self) -> FakeServer:
-        instance = f'i-{self._random.getrandbits(LIFE_BITS):08x}'
-        chooser = random.Random(self._random.random())
-        server = FakeServer(instance, chooser=chooser, others=self.servers)
+        instance = f'i-{self._random.getrandbits(INSTANCE_BITS):08x}'
+        rng = random.Random(self._random.random())
+        server = FakeServer(instance, rng=rng, peers=self.servers)
         self.servers.append(server)
         return server
 
@@ -654,17 +662,17 @@
         store = store or FakeStore(self.rows)
         store.clock = StoreClock()
         store.epochs = StoreEpochs()
-        member = Member(name, SERVICE, 'a', '', f'b{self._boots}')
+        identity = Member(name, SERVICE, 'a', '', f'b{self._boots}')
         maps = KeyMaps()
         life = BackendLife()
         life.on_named(server.instance, _now())
         orders = FakeOrders(server)
-        relay = FakeCourier(self, name)
-        witnesses = FakeWitnesses(self, name, member.boot)
+        relay = FakeRelay(self, name)
+        witnesses = FakeWitnesses(self, name, identity.boot)
         holds = HoldCoordinator(
             store,
             maps,
-            member,
+            identity,
             life,
             orders,
             LoopClock(),
@@ -673,11 +681,11 @@
             starts_with_all=starts_with_all,
         )
         maps.listen(lambda service, _: holds.on_map(service))
-        place = FakeMember(
+        member = FakeMember(
             name, server, store, maps, life, orders, holds, relay, witnesses
         )
-        place.task = asyncio.get_running_loop().create_task(holds.async_run())
-        return place
+        member.task = asyncio.get_running_loop().create_task(holds.async_run())
+        return member
 
 
 def _overlaps(one: FakeServer, other: FakeServer, now: float) -> list[str]:
@@ -696,4 +704,4 @@
 
 
 def _store_now() -> float:
-    return _now() + STORE_AHEAD_S
+    return _now() + STORE_CLOCK_OFFSET_S
--- a/tests/holds/test_first_session.py
+++ b/tests/holds/test_first_session.py
@@ -8,46 +8,46 @@
 
 NAMES = ('m1', 'm2')
 SETTLED_S = 6.0
-LOOK_S = 0.001
-LOOKED_S = 0.2
+POLL_S = 0.001
+POLLED_S = 0.2
 
 
-def test_keys_are_waited_for_before_the_first_session() -> None:
-    """A process starts again beside its server, and takes requests at once.
+def test_requests_wait_for_keys_before_the_first_session() -> None:
+    """A process restarts beside its server and receives requests at once.
 
-    It knows from the map that a key is its own before it has a connection to
-    its server, which takes some milliseconds more. Callers were refused as if
-    the server could not be reached, though nobody had tried.
+    It knows its keys from the map some milliseconds before it has a connection
+    to its server. Requests must not be refused as if the server were
+    unreachable.
     """
 
-    async def story() -> None:
-        world = FakeCluster()
-        place = [world.add(name) for name in NAMES][0]
+    async def scenario() -> None:
+        cluster = FakeCluster()
+        member = [cluster.add(name) for name in NAMES][0]
         await asyncio.sleep(SETTLED_S)
-        key = place.maps.find('cases').owned_by('m1')[0].keys.first
-        world.kill(place)
-        holds = world.restart(place).holds
+        key = member.maps.find('cases').owned_by('m1')[0].keys.first
+        cluster.kill(member)
+        holds = cluster.restart(member).holds
         refused = 0
-        for _ in range(int(LOOKED_S / LOOK_S)):
-            await asyncio.sleep(LOOK_S)
+        for _ in range(int(POLLED_S / POLL_S)):
+            await asyncio.sleep(POLL_S)
             refused += holds.is_overdue(key)
         assert not refused
         assert holds.is_held(key)
-        assert world.held_keys() == KEY_COUNT
-        await world.async_stop()
+        assert cluster.held_keys() == KEY_COUNT
+        await cluster.async_stop()
 
-    run(story())
+    run(scenario())
 
 
-def test_keys_of_a_server_that_was_not_reached_are_refused_at_once() -> None:
-    async def story() -> None:
-        world = FakeCluster()
-        place = [world.add(name) for name in NAMES][0]
+def test_keys_of_an_unreachable_server_are_refused_at_once() -> None:
+    async def scenario() -> None:
+        cluster = FakeCluster()
+        member = [cluster.add(name) for name in NAMES][0]
         await asyncio.sleep(SETTLED_S)
-        key = place.maps.find('cases').owned_by('m1')[0].keys.first
-        place.server.is_up = False
-        await asyncio.sleep(LOOKED_S)
-        assert place.holds.is_overdue(key)
-        await world.async_stop()
+        key = member.maps.find('cases').owned_by('m1')[0].keys.first
+        member.server.is_up = False
+        await asyncio.sleep(POLLED_S)
+        assert member.holds.is_overdue(key)
+        await cluster.async_stop()
 
-    run(story())
+    run(scenario())
--- a/tests/holds/test_ledger.py
+++ b/tests/holds/test_ledger.py
@@ -1,4 +1,4 @@
-"""What is known of the grants to a server."""
+"""Records of the grants to a server."""
 
 from pytest import approx
 
@@ -29,7 +29,7 @@
     assert ledger.ends_by(ALL) == latest_end(Grant(ALL, 1, HOLD_S), 10.0)
 
 
-def test_a_release_ends_the_hold_of_what_it_names() -> None:
+def test_a_release_ends_the_hold_of_its_range() -> None:
     ledger = GrantLedger()
     granted(ledger, ALL, 1, 10.0)
     ledger.on_released(KeyRange(40, 59))
@@ -40,10 +40,10 @@
 
 
 def test_an_unanswered_grant_is_remembered_beyond_a_release() -> None:
-    """A grant gets no answer; then its range is released and passed on.
+    """A grant gets no answer; then its range is released and transferred.
 
-    The server carries the grant out seconds later and works on keys that
-    have another owner by then.
+    The server may execute the grant seconds later and work on keys that have
+    another owner by then.
     """
     ledger = GrantLedger()
     lost = Grant(ALL, 1, HOLD_S)
@@ -56,13 +56,13 @@
     )
 
 
-def test_a_confirmed_grant_leaves_nothing_unsure() -> None:
+def test_a_confirmed_grant_leaves_nothing_unconfirmed() -> None:
     ledger = GrantLedger()
     granted(ledger, ALL, 1, 10.0)
     assert ledger.unconfirmed_until(ALL) == approx(0.0)
 
 
-def test_a_later_fence_keeps_what_earlier_grants_may_do() -> None:
+def test_a_later_fence_keeps_unconfirmed_earlier_grants() -> None:
     ledger = GrantLedger()
     lost = Grant(ALL, 1, HOLD_S)
     ledger.on_sent(lost, 10.0)
@@ -75,10 +75,10 @@
     assert ledger.held_until(10, 2) == approx(14.5)
 
 
-def test_ranges_that_are_joined_or_cut_stay_held() -> None:
-    """A neighbour is given away, and what is left is renewed as a new range.
+def test_merged_or_split_ranges_stay_held() -> None:
+    """A part of a range is transferred, and the rest is renewed as a new range.
 
-    Were its hold forgotten, its keys would be refused until the renewal is
+    If its hold were dropped, requests would be refused until the renewal is
     answered.
     """
     ledger = GrantLedger()
--- a/tests/holds/test_promises.py
+++ b/tests/holds/test_promises.py
@@ -1,4 +1,4 @@
-"""Leases that witnesses lengthen, or give up early."""
+"""Leases that witnesses extend, or let expire early."""
 
 import asyncio
 import random
@@ -16,150 +16,153 @@
 from plantaingrade.peers.entity import Member
 from plantaingrade.store.clock import StoreClock
 from tests.holds.fakes import FakeCluster
-from tests.holds.test_coordinator import calm, disturb
+from tests.holds.test_coordinator import clear_faults, inject_fault
 from tests.virtual import run
 
 NAMES = ('m1', 'm2', 'm3', 'm4')
-LOOK_S = 0.05
+POLL_S = 0.05
 SETTLED_S = 6.0
-# Longest way from the first end of a lost member's lease to its keys' grants:
-# the margin, two looks that are spread, a call and a grant.
+# Longest time from the base end of a lost member's lease to the grants of its
+# keys: the margin, two scan periods with jitter, a call and a grant.
 TAKEOVER_S = 0.3 + 2 * len(NAMES) * SCAN_PERIOD_S * 1.5 / 2 + 0.5
 
 
 async def start() -> FakeCluster:
-    world = FakeCluster()
+    cluster = FakeCluster()
     for name in NAMES:
-        world.add(name)
+        cluster.add(name)
     await asyncio.sleep(SETTLED_S)
-    assert world.held_keys() == KEY_COUNT
-    return world
+    assert cluster.held_keys() == KEY_COUNT
+    return cluster
 
 
-async def unheld_for(world: FakeCluster, seconds: float) -> float:
-    """Return for how long keys were held by nobody; none twice."""
+async def measure_unheld(cluster: FakeCluster, seconds: float) -> float:
+    """Return for how long keys were unheld; check that none is held twice."""
     unheld_s = 0.0
-    for _ in range(int(seconds / LOOK_S)):
-        await asyncio.sleep(LOOK_S)
-        assert not world.overlaps()
-        unheld_s += LOOK_S * (world.held_keys() < KEY_COUNT)
+    for _ in range(int(seconds / POLL_S)):
+        await asyncio.sleep(POLL_S)
+        assert not cluster.overlaps()
+        unheld_s += POLL_S * (cluster.held_keys() < KEY_COUNT)
     return unheld_s
 
 
 def test_keys_of_a_lost_instance_are_held_again_soon() -> None:
     """An instance is lost for good with its process and its server.
 
-    Callers are told for 10 to 13 s that the owner cannot be reached, since
-    its lease is made to outlast an outage of the store. Its witnesses give it
-    up as soon as the first end of its lease has passed.
+    Its lease is long enough to outlast a store outage, so its keys would be
+    unheld for 10 to 13 s. The witnesses agree to the expiry after the base end.
     """
 
-    async def story() -> None:
-        world = await start()
-        world.kill(world.members[0])
-        world.members[0].server.is_up = False
-        assert await unheld_for(world, LEASE_S + 10) < BASE_LEASE_S + TAKEOVER_S
-        assert world.held_keys() == KEY_COUNT
-        await world.async_stop()
+    async def scenario() -> None:
+        cluster = await start()
+        cluster.kill(cluster.members[0])
+        cluster.members[0].server.is_up = False
+        assert (
+            await measure_unheld(cluster, LEASE_S + 10)
+            < BASE_LEASE_S + TAKEOVER_S
+        )
+        assert cluster.held_keys() == KEY_COUNT
+        await cluster.async_stop()
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize('away_s', [3.0, 6.0, 8.5])
-def test_keys_stay_held_while_the_store_is_away(away_s) -> None:
-    """The store is away for all, for longer than the first end of a lease.
+@pytest.mark.parametrize('outage_s', [3.0, 6.0, 8.5])
+def test_keys_stay_held_during_a_store_outage(outage_s) -> None:
+    """The store is unavailable for longer than the base end of a lease.
 
-    The longest is what a whole lease of 13 s bears, less a renewal's pause of
-    3 s before and a call that is given up after.
+    The longest outage that a lease of 13 s covers is shorter by a renewal
+    period of 3 s before it and a call that times out after it.
     """
 
-    async def story() -> None:
-        world = await start()
-        for place in world.members:
-            place.store.is_away = True
-        assert not await unheld_for(world, away_s)
-        for place in world.members:
-            place.store.is_away = False
-        assert not await unheld_for(world, LEASE_S)
-        await world.async_stop()
+    async def scenario() -> None:
+        cluster = await start()
+        for member in cluster.members:
+            member.store.is_unavailable = True
+        assert not await measure_unheld(cluster, outage_s)
+        for member in cluster.members:
+            member.store.is_unavailable = False
+        assert not await measure_unheld(cluster, LEASE_S)
+        await cluster.async_stop()
 
-    run(story())
+    run(scenario())
 
 
-def test_a_member_cut_off_from_all_lets_go_before_its_keys_pass_on() -> None:
-    """Neither the store nor a witness can be reached from one instance."""
+def test_an_isolated_member_releases_keys_before_takeover() -> None:
+    """One instance can reach neither the store nor a witness."""
 
-    async def story() -> None:
-        world = await start()
-        place = world.members[0]
-        place.store.is_away = True
-        place.witnesses.is_cut = True
-        unheld_s = await unheld_for(world, LEASE_S + 10)
+    async def scenario() -> None:
+        cluster = await start()
+        member = cluster.members[0]
+        member.store.is_unavailable = True
+        member.witnesses.is_cut_off = True
+        unheld_s = await measure_unheld(cluster, LEASE_S + 10)
         assert unheld_s < BASE_LEASE_S + TAKEOVER_S
-        assert not place.maps.find('cases').owned_by('m9')
-        assert world.held_keys() == KEY_COUNT
-        await world.async_stop()
+        assert not member.maps.find('cases').owned_by('m9')
+        assert cluster.held_keys() == KEY_COUNT
+        await cluster.async_stop()
 
-    run(story())
+    run(scenario())
 
 
-def test_without_a_majority_the_whole_lease_is_waited_out() -> None:
-    """An instance is lost with two of its three witnesses."""
+def test_a_takeover_without_a_majority_waits_for_the_full_lease() -> None:
+    """An instance is lost together with two of its three witnesses."""
 
-    async def story() -> None:
-        world = await start()
-        for place in world.members[:3]:
-            world.kill(place)
-            place.server.is_up = False
-        unheld_s = await unheld_for(world, LEASE_S + 10)
+    async def scenario() -> None:
+        cluster = await start()
+        for member in cluster.members[:3]:
+            cluster.kill(member)
+            member.server.is_up = False
+        unheld_s = await measure_unheld(cluster, LEASE_S + 10)
         assert unheld_s > LEASE_S - 4
-        assert world.held_keys() == KEY_COUNT
-        await world.async_stop()
+        assert cluster.held_keys() == KEY_COUNT
+        await cluster.async_stop()
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize('seed', range(60))
 def test_no_mix_of_faults_gives_two_owners_while_witnesses_are_lost(
     seed,
 ) -> None:
-    """Members are killed and cut off from their witnesses, words are lost.
+    """Random faults, and members are cut off from their witnesses.
 
-    The store is away for some or for all, writes are lost or late, ranges are
-    moved. No key has two owners; when all is calm again, each has one.
+    The store is unavailable for some or all, writes are lost or late, messages
+    are lost, and ranges are moved. No key has two owners; without faults, each
+    has one again.
     """
 
-    async def story() -> None:
-        chooser = random.Random(seed)
-        world = FakeCluster(seed)
+    async def scenario() -> None:
+        rng = random.Random(seed)
+        cluster = FakeCluster(seed)
         for name in (*NAMES, 'm5'):
-            world.add(name)
+            cluster.add(name)
         await asyncio.sleep(SETTLED_S)
-        world.lost_word_share = 0.2
+        cluster.lost_message_share = 0.2
         for _ in range(40):
-            disturb(world, chooser, kinds=11)
-            if chooser.randrange(10) < 3:
-                place = chooser.choice(world.members)
-                place.witnesses.is_cut = not place.witnesses.is_cut
-            if not chooser.randrange(10):
-                is_away = chooser.choice((False, True))
-                for place in world.members:
-                    place.store.is_away = is_away
-            await unheld_for(world, chooser.uniform(0.1, 2.0))
-        calm(world)
-        for place in world.members:
-            place.witnesses.is_cut = False
-        await unheld_for(world, LEASE_S + 20)
-        assert not world.fences_not_above()
-        assert world.held_keys() == KEY_COUNT
-        await world.async_stop()
-
-    run(story())
-
-
-WITNESSES = tuple(Witness(f'w{place}', f'b{place}') for place in range(3))
-# What happens: a witness hears a question for the writes up to a number, or
-# starts again.
+            inject_fault(cluster, rng, kinds=11)
+            if rng.randrange(10) < 3:
+                member = rng.choice(cluster.members)
+                member.witnesses.is_cut_off = not member.witnesses.is_cut_off
+            if not rng.randrange(10):
+                is_unavailable = rng.choice((False, True))
+                for member in cluster.members:
+                    member.store.is_unavailable = is_unavailable
+            await measure_unheld(cluster, rng.uniform(0.1, 2.0))
+        clear_faults(cluster)
+        for member in cluster.members:
+            member.witnesses.is_cut_off = False
+        await measure_unheld(cluster, LEASE_S + 20)
+        assert not cluster.stale_fence_grants()
+        assert cluster.held_keys() == KEY_COUNT
+        await cluster.async_stop()
+
+    run(scenario())
+
+
+WITNESSES = tuple(Witness(f'w{index}', f'b{index}') for index in range(3))
+# Events: a witness receives a request for the writes up to a number, or
+# restarts.
 EVENTS = st.lists(
     st.tuples(
         st.sampled_from(
@@ -175,27 +178,27 @@
 
 @settings(max_examples=500, deadline=None)
 @given(EVENTS)
-def test_no_write_is_promised_and_given_up_by_majorities(events) -> None:
-    """Questions arrive in any order, late or twice; witnesses start again.
+def test_no_write_is_promised_and_expired_by_majorities(events) -> None:
+    """Requests arrive in any order, late or twice; witnesses restart.
 
-    Whatever answers were heard, no write has both a majority that promised it
-    and one that gave it up.
+    No write has both a majority that promised it and one that agreed to its
+    expiry.
     """
-    books = [WitnessState(witness.boot) for witness in WITNESSES]
+    states = [WitnessState(witness.boot) for witness in WITNESSES]
     promised: dict[int, set[Witness]] = {}
     given_up: dict[int, set[Witness]] = {}
-    for what, place, number, length in events:
-        witness, book = WITNESSES[place], books[place]
+    for what, index, number, length in events:
+        witness, state = WITNESSES[index], states[index]
         if what == 'restart':
-            books[place] = WitnessState(f'{witness.boot}-again')
+            states[index] = WitnessState(f'{witness.boot}-again')
             continue
         if what == 'give-up':
             asked = ExpiryRequest('m', 'b', number, witness.boot)
-            if book.on_expiry_request(asked, 0.0):
+            if state.on_expiry_request(asked, 0.0):
                 given_up.setdefault(number, set()).add(witness)
             continue
         last = number + length
-        if book.on_promise_request(
+        if state.on_promise_request(
             PromiseRequest('m', 'b', number, last, witness.boot), 0.0
         ):
             for each in range(number, last + 1):
@@ -206,32 +209,32 @@
 
 
 @pytest.mark.parametrize('is_promise_first', [False, True])
-def test_what_was_said_first_counts(is_promise_first) -> None:
-    """A witness that takes the second question too has said both."""
-    book = WitnessState('w')
+def test_the_first_agreement_counts(is_promise_first) -> None:
+    """A witness must not agree to both requests."""
+    state = WitnessState('w')
     promise = PromiseRequest('m', 'b', 2, 4, 'w')
     give_up = ExpiryRequest('m', 'b', 3, 'w')
     if is_promise_first:
-        assert book.on_promise_request(promise, 0.0)
-        assert not book.on_expiry_request(give_up, 0.0)
+        assert state.on_promise_request(promise, 0.0)
+        assert not state.on_expiry_request(give_up, 0.0)
     else:
-        assert book.on_expiry_request(give_up, 0.0)
-        assert not book.on_promise_request(promise, 0.0)
+        assert state.on_expiry_request(give_up, 0.0)
+        assert not state.on_promise_request(promise, 0.0)
 
 
-def test_a_write_that_no_longer_stands_may_have_been_given_up() -> None:
-    book = WitnessState('w')
-    assert book.on_expiry_request(ExpiryRequest('m', 'b', 2, 'w'), 0.0)
-    assert book.on_promise_request(PromiseRequest('m', 'b', 3, 4, 'w'), 0.0)
+def test_a_replaced_write_may_have_expired() -> None:
+    state = WitnessState('w')
+    assert state.on_expiry_request(ExpiryRequest('m', 'b', 2, 'w'), 0.0)
+    assert state.on_promise_request(PromiseRequest('m', 'b', 3, 4, 'w'), 0.0)
 
 
-def test_what_was_said_is_kept_for_longer_than_any_lease() -> None:
-    book = WitnessState('w')
-    assert book.on_promise_request(PromiseRequest('m', 'b', 1, 2, 'w'), 0.0)
-    book.on_promise_request(
+def test_agreements_are_kept_longer_than_any_lease() -> None:
+    state = WitnessState('w')
+    assert state.on_promise_request(PromiseRequest('m', 'b', 1, 2, 'w'), 0.0)
+    state.on_promise_request(
         PromiseRequest('n', 'b', 1, 2, 'w'), RETENTION_S - 1
     )
-    assert not book.on_expiry_request(
+    assert not state.on_expiry_request(
         ExpiryRequest('m', 'b', 2, 'w'), RETENTION_S - 1
     )
     assert RETENTION_S > 5 * LEASE_S
@@ -253,8 +256,8 @@
     return LeaseTerm(clock)
 
 
-def test_a_write_without_an_answer_bounds_what_was_promised() -> None:
-    """A write whose answer is lost may stand, and nobody promised for it."""
+def test_an_unanswered_write_limits_a_promised_lease() -> None:
+    """A write without an answer may be applied, and nobody promised it."""
     term = make_term()
     term.on_applied(row(1, 100.0, *WITNESSES))
     assert term.until == pytest.approx(BASE_LEASE_S, abs=0.1)
@@ -271,8 +274,8 @@
     assert not term.can_extend
 
 
-def test_each_set_of_witnesses_counts_by_itself() -> None:
-    """A write that names others may stand in place of the one known to."""
+def test_each_set_of_witnesses_must_agree() -> None:
+    """A write that names other witnesses may replace the applied one."""
     others = (Witness('x', 'b'),)
     term = make_term()
     term.on_applied(row(1, 100.0, *WITNESSES))
--- a/tests/holds/test_renewals.py
+++ b/tests/holds/test_renewals.py
@@ -1,8 +1,8 @@
 """Grants are renewed once a second, however often the map changes.
 
-Dozens of members move keys to each other. Each change of the map made every
-member send a grant for each of its ranges at once: with ten changes a second,
-ten times as many as are needed.
+Dozens of members move keys to each other. If each change of the map made every
+member renew all its grants at once, ten changes a second would cause ten times
+as many grants as needed.
 """
 
 import asyncio
@@ -26,20 +26,20 @@
         granted.append(server.instance)
         return grant(server, order, arrived)
 
-    async def story() -> int:
-        world = FakeCluster()
-        for place in range(MEMBERS):
-            world.add(f'm{place}')
+    async def scenario() -> int:
+        cluster = FakeCluster()
+        for index in range(MEMBERS):
+            cluster.add(f'm{index}')
         await asyncio.sleep(SETTLED_S)
         granted.clear()
-        source, bystander = world.members[0], world.members[-1]
+        source, bystander = cluster.members[0], cluster.members[-1]
         for _ in range(CHANGES):
             own = source.maps.find('cases').owned_by('m0')[0].keys
-            world.move(source, KeyRange(own.first, own.first), 'm1')
+            cluster.move(source, KeyRange(own.first, own.first), 'm1')
             await asyncio.sleep(PAUSE_S)
-        await world.async_stop()
+        await cluster.async_stop()
         return granted.count(bystander.server.instance)
 
     monkeypatch.setattr(FakeServer, 'grant', count)
-    renewals = run(story())
+    renewals = run(scenario())
     assert renewals <= CHANGES * PAUSE_S / GRANT_PERIOD_S + 2
--- a/tests/holds/test_times.py
+++ b/tests/holds/test_times.py
@@ -1,4 +1,4 @@
-"""Times of leases by the size of a service."""
+"""Lease timing by the size of a service."""
 
 import pytest
 
@@ -12,12 +12,12 @@
 )
 from plantaingrade.holds.times import lease_times
 
-# Turns that the platform's store has a second in one part.
+# Transactions per second in one part of the platform's store.
 TURNS_PER_S = 150
 
 
 @pytest.mark.parametrize('members', [0, 1, 7, 67, 75])
-def test_small_services_renew_as_often_as_ever(members) -> None:
+def test_small_services_use_the_shortest_period(members) -> None:
     times = lease_times(members)
     assert times.renew_s == RENEW_S
     assert times.base_s == BASE_LEASE_S
@@ -25,14 +25,14 @@
 
 
 @pytest.mark.parametrize('members', [148, 400, 600])
-def test_half_of_the_turns_are_left_for_changes(members) -> None:
+def test_half_of_the_transactions_are_left_for_changes(members) -> None:
     times = lease_times(members)
     assert members / times.renew_s <= TURNS_PER_S / 2
 
 
 @pytest.mark.parametrize('members', [1, 148, 400, 1000])
-def test_each_end_leaves_what_it_is_for(members) -> None:
-    """A hold when a renewal is due, and the platform's longest outage."""
+def test_each_lease_end_leaves_its_margin(members) -> None:
+    """A hold remains when a renewal is due, and the longest store outage."""
     times = lease_times(members)
     assert times.base_s - times.renew_s >= HOLD_S
     assert times.full_s - times.renew_s >= 10
