--- a/plantaingrade/holds/changes.py
+++ b/plantaingrade/holds/changes.py
@@ -56,10 +56,9 @@
 class CommitAttempt(Struct):
     """Time limits of one commit, and its writes that have no answer yet.
 
-    An attempt ends with the epoch of the store in which it began. The longer
-    limit ``contended_until`` applies as long as ``has_only_conflicts`` is set:
-    the store has answered each write, and only changes by others are in the
-    way.
+    An attempt ends with the epoch of the store in which it began. As long as
+    ``has_only_conflicts`` is set, the store has answered each write and only
+    changes by others are in the way; then ``contended_until`` is the limit.
     """
 
     epoch: int
--- a/plantaingrade/holds/joint_transfers.py
+++ b/plantaingrade/holds/joint_transfers.py
@@ -50,7 +50,7 @@
 def is_transferred(
     key_map: KeyMap, transfer: RangeTransfer, source: str
 ) -> bool:
-    """Return from the map after a change whether it included a transfer.
+    """Return whether the map after a change includes a transfer.
 
     Only the source changes the owner of its keys while it holds a lease. The
     change that was applied may be an earlier one than the one planned last, so
