--- a/plantaingrade/balance/coordinator.py
+++ b/plantaingrade/balance/coordinator.py
@@ -126,7 +126,7 @@
         if self.is_leaving:
             return
         self.is_leaving = True
-        self._holds.registry.takes_keys = False
+        self._holds.registry.accepts_keys = False
         self._publisher.tell_load(self.load(), self._peers.names())
 
     def resume(self) -> None:
@@ -137,7 +137,7 @@
         if self.is_drained:
             return
         self.is_leaving = False
-        self._holds.registry.takes_keys = True
+        self._holds.registry.accepts_keys = True
 
     async def async_run(self) -> None:
         """Balance load periodically until cancelled."""
@@ -158,7 +158,7 @@
         would be unserved until it is available again.
         """
         ranges = self._own_ranges()
-        if not ranges or not await self._holds.async_is_store_there():
+        if not ranges or not await self._holds.async_is_store_available():
             return
         now = self._clock.now()
         load_by_member = self._peers.receivers(now)
@@ -173,7 +173,7 @@
         )
         await asyncio.gather(
             *(
-                self._holds.async_give(keys, target)
+                self._holds.async_transfer(keys, target)
                 for target, keys in keys_by_target.items()
             )
         )
@@ -200,7 +200,7 @@
             *(self._async_move(own, move) for move in moves)
         )
         # Keys are served during this pause, but not while a map change waits.
-        turn_pause_s = self._holds.registry.turns.rest_s()
+        turn_pause_s = self._holds.registry.backoff.deferral_s()
         pause_s = self._backoff.on_moves(
             transfers.count(True), transfers.count(False)
         )
@@ -234,7 +234,7 @@
         )
         if not reply.is_accepted:
             return None
-        is_done = await self._holds.async_give([move.keys], move.target)
+        is_done = await self._holds.async_transfer([move.keys], move.target)
         if is_done:
             self._meter.forget(move.keys)
         return is_done
--- a/plantaingrade/holds/carrying.py
+++ b/plantaingrade/holds/migration.py
@@ -1,8 +1,9 @@
-"""Carry a lease over into a new epoch of the store. Pure.
+"""Migrate a lease to a new epoch of the store. Pure.
 
-In its epoch a lease is exclusive, whatever the store has lost since. Its member
-knows each range that it gave away itself, and nobody else could give one away.
-So what it owns by all that is known is its own still, until the lease ends.
+Failure: the store is restored from a snapshot and has lost its last seconds of
+writes. A lease remains exclusive in spite of that: its member knows each range
+that it transferred itself, and nobody else could have transferred one. So the
+keys that it owns to its own knowledge stay its own until the lease ends.
 """
 
 from collections.abc import Iterable
@@ -11,11 +12,12 @@
 from plantaingrade.keyspace.entity import Assignment, KeyMap
 
 
-def plan_carry(key_map: KeyMap, stored: KeyMap, epoch: int) -> Change:
+def plan_migration(key_map: KeyMap, stored: KeyMap, epoch: int) -> Change:
     """Return the change that joins an epoch with a lease of an earlier one.
 
-    What is known of the lost seconds is written with it. The map must stand
-    while it does: once the earlier lease is over, others may take its keys.
+    It also writes what this member knows of the lost seconds. The transaction
+    must require that the map is unchanged: once the earlier lease is over,
+    others may take over its keys.
     """
     is_known = stored.epoch == epoch and (
         key_map.assignments == stored.assignments
@@ -25,23 +27,26 @@
     return Change(key_map, needs_map=True)
 
 
-def given_away(
+def find_unconfirmed_transfers(
     key_map: KeyMap, own: str, writes: Iterable[SentWrite]
 ) -> tuple[Assignment, ...]:
-    """Return what writes without an answer may have given to others.
+    """Return the ranges that unanswered writes may have transferred to others.
 
-    If they were done before the epoch ended, their receivers hold the keys.
+    If the writes were applied before the epoch ended, the receivers hold the
+    keys.
     """
     changed = (write.change.key_map for write in writes)
     return tuple(
         piece
         for after in changed
         if after is not None
-        for piece in _given(key_map, own, after)
+        for piece in _newly_assigned(key_map, own, after)
     )
 
 
-def _given(key_map: KeyMap, own: str, after: KeyMap) -> list[Assignment]:
+def _newly_assigned(
+    key_map: KeyMap, own: str, after: KeyMap
+) -> list[Assignment]:
     owned = key_map.owned_by(own)
     return [
         Assignment(each.keys.overlap(mine.keys), each.owner, each.fence)
--- a/tests/balance/test_coordinator.py
+++ b/tests/balance/test_coordinator.py
@@ -16,7 +16,7 @@
 from plantaingrade.balance.peer_loads import PeerLoads
 from plantaingrade.balance.service_peers import LEAVING_SHARE
 from plantaingrade.eventlog import EventLog
-from plantaingrade.holds.turns import TurnPauses
+from plantaingrade.holds.backoff import ConflictBackoff
 from plantaingrade.keyspace.entity import Assignment, KeyRange
 from plantaingrade.peers.entity import Member, Offer, OfferReply
 from tests.virtual import LoopClock, run
@@ -39,19 +39,19 @@
         self.moved_at: list[float] = []
         self.registry = SimpleNamespace(
             is_joined=True,
-            takes_keys=True,
+            accepts_keys=True,
             is_waiting=False,
             key_map=self,
-            turns=TurnPauses(random.Random(1)),
+            backoff=ConflictBackoff(random.Random(1)),
         )
 
     def owned_by(self, name: str) -> list[Assignment]:
         return [Assignment(keys, name, 1) for keys in self.ranges]
 
-    async def async_is_store_there(self) -> bool:
+    async def async_is_store_available(self) -> bool:
         return True
 
-    async def async_give(self, keys: list[KeyRange], _: str) -> bool:
+    async def async_transfer(self, keys: list[KeyRange], _: str) -> bool:
         self.moved_at.append(asyncio.get_running_loop().time())
         for moved in keys:
             self.ranges = [
@@ -105,12 +105,12 @@
 def simulate(
     calm_s: float,
     hot_s: float,
-    turns: TurnPauses | None = None,
+    turns: ConflictBackoff | None = None,
     calm_load: float = 0.0,
 ) -> list[float]:
     """Return when ranges were moved, in seconds since the hot range began."""
     holds = FakeHolds()
-    holds.registry.turns = turns or holds.registry.turns
+    holds.registry.backoff = turns or holds.registry.backoff
 
     async def scenario() -> float:
         clock = LoopClock()
@@ -163,9 +163,9 @@
     Until a change succeeds, the member pauses after each round of moves. A poll
     without moves must not start a pause, which would delay the next move.
     """
-    turns = TurnPauses(random.Random(1))
+    turns = ConflictBackoff(random.Random(1))
     for _ in range(10):
-        turns.on_late(1.0)
+        turns.on_conflict(1.0)
     moved_at = simulate(5.0, 1.0, turns, calm_load=0.5)
     assert moved_at[0] <= POLL_INTERVAL_S + 0.1
 
