--- a/plantaingrade/operators/desk.py
+++ b/plantaingrade/operators/api.py
@@ -21,6 +21,15 @@
     HEADER_OPERATOR,
     MAX_COMMAND_BYTES,
 )
+from plantaingrade.operators.desired_state import (
+    NO_WISH,
+    DesiredState,
+    TargetState,
+    UnreadableDesiredStateError,
+    decode_desired_state,
+    desired_state_row,
+    encode_desired_state,
+)
 from plantaingrade.operators.entity import (
     Accepted,
     AlreadyDone,
@@ -41,15 +50,6 @@
     StatementError,
     Unsettled,
 )
-from plantaingrade.operators.wishes import (
-    NO_WISH,
-    UnreadableWishError,
-    Wish,
-    WishedState,
-    decode_wish,
-    encode_wish,
-    wish_row,
-)
 from plantaingrade.peers.calls import PeerCalls
 from plantaingrade.peers.directory import Directory
 from plantaingrade.peers.entity import Member
@@ -87,13 +87,13 @@
 PATH_MOVE = '/-/move'
 PATH_WISH = '/-/wish'
 STATE_BY_COMMAND = {
-    Drain: WishedState.DRAIN,
-    Resume: WishedState.SERVE,
-    Retire: WishedState.RETIRE,
+    Drain: TargetState.DRAIN,
+    Resume: TargetState.SERVE,
+    Retire: TargetState.RETIRE,
 }
 
 
-class OperatorDesk:
+class OperatorApi:
     """Queries from what this process knows; commands where they belong."""
 
     __slots__ = (
@@ -134,17 +134,19 @@
         self._calls = calls
         self._store = store
         self._clock = clock
-        self._apply: Callable[[Wish], None] | None = None
+        self._apply: Callable[[DesiredState], None] | None = None
         self._followed = NO_WISH
         # Wishes that this process has written, by the member they are for.
-        self._given_by_member: dict[str, tuple[Member, Wish]] = {}
+        self._given_by_member: dict[str, tuple[Member, DesiredState]] = {}
         self._life: Callable[[], ServerLife] | None = None
 
-    def apply_by(self, apply: Callable[[Wish], None]) -> None:
+    def set_desired_state_callback(
+        self, apply: Callable[[DesiredState], None]
+    ) -> None:
         """Call back with the wish for this process's own server."""
         self._apply = apply
 
-    def show_life_by(self, life: Callable[[], ServerLife]) -> None:
+    def set_incarnation_source(self, life: Callable[[], ServerLife]) -> None:
         """Ask for the present life of this process's own server."""
         self._life = life
 
@@ -186,14 +188,14 @@
         given = await self._holds.async_give([keys], target)
         return _json(STATUS_OK, {'given': given})
 
-    async def async_read_wish(self) -> Answer:
+    async def async_read_desired_state(self) -> Answer:
         """Read and follow the wish for the own server."""
         wish = await self._async_find_wish(self._own)
         if wish is not None:
-            self.follow(wish)
+            self.apply_desired_state(wish)
         return _json(STATUS_OK, {'read': wish is not None})
 
-    def follow(self, wish: Wish) -> None:
+    def apply_desired_state(self, wish: DesiredState) -> None:
         """Follow a wish for the own server, unless a later one is followed."""
         if wish.is_older_than(self._followed):
             return
@@ -201,7 +203,7 @@
         if self._apply is not None:
             self._apply(wish)
 
-    async def async_keep_wishes(self) -> None:
+    async def async_restore_desired_states(self) -> None:
         """Write wishes again that the store has lost with its last seconds.
 
         Whoever gave one was told that it stands.
@@ -215,7 +217,7 @@
             while not await self._async_keep(member, wish):
                 await asyncio.sleep(KEEP_RETRY_S)
 
-    async def _async_keep(self, member: Member, wish: Wish) -> bool:
+    async def _async_keep(self, member: Member, wish: DesiredState) -> bool:
         """Write a wish again if it is lost; tell whether that is done."""
         found = await self._async_find_wish(member)
         if found is None:
@@ -226,17 +228,17 @@
         return isinstance(outcome, Committed)
 
     async def _async_put(
-        self, member: Member, found: Wish, wish: Wish
+        self, member: Member, found: DesiredState, wish: DesiredState
     ) -> TransactionOutcome:
         """Write a wish in place of the one found."""
-        name = wish_row(member.service, member.name)
+        name = desired_state_row(member.service, member.name)
         # A row that is not there has no version, and may be absent anew.
         newest = self._store.epochs.newest
         epoch = found.row_epoch if found.version else newest
         return await self._store.async_commit(
             Transaction(
                 (Expected(name, found.version),),
-                (Put(name, encode_wish(wish)),),
+                (Put(name, encode_desired_state(wish)),),
                 epoch=epoch,
             )
         )
@@ -323,7 +325,7 @@
                 keys = KeyRange(command.first, command.last)
                 return await self._async_move(command_id, service, keys, server)
             case Drain() | Resume() | Retire():
-                wish = Wish(
+                wish = DesiredState(
                     STATE_BY_COMMAND[type(command)],
                     command_id,
                     operator,
@@ -366,7 +368,9 @@
         )
         return reply is not None and _read_given(reply)
 
-    async def _async_wish(self, server: str, wish: Wish) -> CommandOutcome:
+    async def _async_wish(
+        self, server: str, wish: DesiredState
+    ) -> CommandOutcome:
         """Write a wish down, then tell the process that it concerns."""
         member = self._find_member(server)
         if member is None:
@@ -393,16 +397,16 @@
 
     async def _async_tell(self, member: Member) -> None:
         if member.name == self._own.name:
-            await self.async_read_wish()
+            await self.async_read_desired_state()
         else:
             await self._calls.async_post(member, PATH_WISH, b'')
 
-    async def _async_find_wish(self, member: Member) -> Wish | None:
+    async def _async_find_wish(self, member: Member) -> DesiredState | None:
         """Return the wish for a member; nothing if the store is away."""
         read = await self._store.async_read(TABLE, member.service)
         if not isinstance(read, RangeRead):
             return None
-        name = wish_row(member.service, member.name)
+        name = desired_state_row(member.service, member.name)
         for row in read.rows:
             if row.name == name:
                 return _readable(row)
@@ -437,11 +441,11 @@
         return False
 
 
-def _readable(row: Row) -> Wish:
+def _readable(row: Row) -> DesiredState:
     """Return the wish in a row; one that cannot be read can be replaced."""
     try:
-        return decode_wish(row)
-    except UnreadableWishError:
+        return decode_desired_state(row)
+    except UnreadableDesiredStateError:
         return replace(NO_WISH, version=row.version)
 
 
--- a/plantaingrade/operators/wishes.py
+++ b/plantaingrade/operators/desired_state.py
@@ -20,7 +20,7 @@
 MAX_NAME_CHARS = 4096
 
 
-class WishedState(StrEnum):
+class TargetState(StrEnum):
     """What an operator wants of a server."""
 
     SERVE = 'serve'
@@ -28,19 +28,19 @@
     RETIRE = 'retire'
 
 
-class UnreadableWishError(PlantaingradeError):
+class UnreadableDesiredStateError(PlantaingradeError):
     """Report a row that holds no wish."""
 
     advice = 'Another program writes to the same table, or a newer version.'
 
 
-class Wish(Struct, frozen=True):
+class DesiredState(Struct, frozen=True):
     """A wish for one member, and the command that brought it.
 
     ``epoch`` is that of the store in which the command was given.
     """
 
-    state: WishedState
+    state: TargetState
     command_id: str
     operator: str
     version: int = 0
@@ -51,7 +51,7 @@
         """Return the epoch of the store in which the row was read."""
         return epoch_of(self.version)
 
-    def is_older_than(self, other: 'Wish') -> bool:
+    def is_older_than(self, other: 'DesiredState') -> bool:
         """Tell whether another wish came later.
 
         A copy of the store's rows is read in another epoch than its wishes were
@@ -62,15 +62,15 @@
         return number_of(self.version) < number_of(other.version)
 
 
-NO_WISH = Wish(WishedState.SERVE, '', '')
+NO_WISH = DesiredState(TargetState.SERVE, '', '')
 
 
-def wish_row(service: str, member: str) -> RowName:
+def desired_state_row(service: str, member: str) -> RowName:
     """Return the name of the row with the wish for a member."""
     return RowName(TABLE, service, KEY_WISH + member)
 
 
-def encode_wish(wish: Wish) -> bytes:
+def encode_desired_state(wish: DesiredState) -> bytes:
     """Return a row's body."""
     fields = {
         'state': wish.state.value,
@@ -82,20 +82,22 @@
     return json.dumps(fields, separators=(',', ':')).encode()
 
 
-def decode_wish(row: Row) -> Wish:
+def decode_desired_state(row: Row) -> DesiredState:
     """Return the wish that a row holds.
 
     Raises:
-        UnreadableWishError: the bytes are no wish.
+        UnreadableDesiredStateError: the bytes are no wish.
     """
     try:
         fields = parse_object(row.body)
-        return Wish(
-            WishedState(fields.text('state')),
+        return DesiredState(
+            TargetState(fields.text('state')),
             fields.text('command', MAX_NAME_CHARS),
             fields.text('operator', MAX_NAME_CHARS, 0),
             row.version,
             fields.whole('epoch', 0, MAX_EPOCH) if fields.has('epoch') else 0,
         )
     except (ValueError, SchemaError) as error:
-        raise UnreadableWishError('Wish not understood.') from error
+        raise UnreadableDesiredStateError(
+            'DesiredState not understood.'
+        ) from error
--- a/plantaingrade/peers/coordinator.py
+++ b/plantaingrade/peers/coordinator.py
@@ -14,7 +14,7 @@
 from plantaingrade.eventlog import EventLog
 from plantaingrade.keyspace.directory import KeyMaps
 from plantaingrade.keyspace.entity import KeyMap
-from plantaingrade.operators.wishes import Wish
+from plantaingrade.operators.desired_state import DesiredState
 from plantaingrade.peers.announcer import Announcer
 from plantaingrade.peers.calls import PeerCalls
 from plantaingrade.peers.capacity_queries import CapacityQueries
@@ -60,15 +60,16 @@
 class PeerHooks(Struct, frozen=True):
     """Callbacks of the coordinator.
 
-    ``services`` returns the names of all configured services. ``on_wish``
-    receives the operators' request for the own server, and ``on_crash`` the
-    digests of the requests that another member's server was running when it
-    crashed. ``free_capacity_of`` returns how soon the own server could run a
-    request of a kind and priority, or None if it accepts no requests.
+    ``services`` returns the names of all configured services.
+    ``on_desired_state`` receives the operators' request for the own server, and
+    ``on_crash`` the digests of the requests that another member's server was
+    running when it crashed. ``free_capacity_of`` returns how soon the own
+    server could run a request of a kind and priority, or None if it accepts no
+    requests.
     """
 
     services: Callable[[], Iterable[str]]
-    on_wish: Callable[[Wish], None]
+    on_desired_state: Callable[[DesiredState], None]
     on_crash: Callable[[tuple[str, ...]], None]
     free_capacity_of: Callable[[str, int], FreeCapacity | None]
 
@@ -132,7 +133,7 @@
             maps,
             hooks.services,
             self._add_member,
-            hooks.on_wish,
+            hooks.on_desired_state,
             log,
         )
         self._own_row: OwnRow | None = None
--- a/plantaingrade/peers/service_rows.py
+++ b/plantaingrade/peers/service_rows.py
@@ -1,4 +1,4 @@
-"""Read members, maps and operator wishes of all services."""
+"""Read members, maps and desired states of all services."""
 
 from collections.abc import Callable, Iterable
 
@@ -7,11 +7,11 @@
 from plantaingrade.holds.rows import KEY_MAP, KEY_MEMBER, TABLE, part_of
 from plantaingrade.keyspace.codec import UnreadableMapError, decode_map
 from plantaingrade.keyspace.directory import KeyMaps
-from plantaingrade.operators.wishes import (
-    UnreadableWishError,
-    Wish,
-    decode_wish,
-    wish_row,
+from plantaingrade.operators.desired_state import (
+    DesiredState,
+    UnreadableDesiredStateError,
+    decode_desired_state,
+    desired_state_row,
 )
 from plantaingrade.peers.entity import Member
 from plantaingrade.store.entity import RangeRead, ReadOutcome, Row
@@ -21,7 +21,7 @@
 UNREADABLE_ERRORS = (
     UnreadableLeaseError,
     UnreadableMapError,
-    UnreadableWishError,
+    UnreadableDesiredStateError,
 )
 
 
@@ -32,7 +32,7 @@
         '_log',
         '_maps',
         '_on_member',
-        '_on_wish',
+        '_on_desired_state',
         '_own',
         '_services',
         '_store',
@@ -46,16 +46,16 @@
         maps: KeyMaps,
         services: Callable[[], Iterable[str]],
         on_member: Callable[[Member], None],
-        on_wish: Callable[[Wish], None],
+        on_desired_state: Callable[[DesiredState], None],
         log: EventLog,
     ) -> None:
-        """Pass members to ``on_member`` and the own wish to ``on_wish``."""
+        """Pass members and the own desired state to the callbacks."""
         self._own = own
         self._store = store
         self._maps = maps
         self._services = services
         self._on_member = on_member
-        self._on_wish = on_wish
+        self._on_desired_state = on_desired_state
         self._log = log
         self._unreadable = UnreadableRows(log)
 
@@ -68,7 +68,7 @@
                 return False
             for row in outcome.rows:
                 self._process_row(service, row)
-        return await self._async_read_wish()
+        return await self._async_read_desired_state()
 
     async def _async_read_service(self, service: str) -> ReadOutcome:
         """Read the rows of a service in the newest epoch of the store."""
@@ -79,11 +79,11 @@
             return await self._store.async_read(TABLE, part)
         return outcome
 
-    async def _async_read_wish(self) -> bool:
-        """Read the wish for the own server, if stored apart from the rows.
+    async def _async_read_desired_state(self) -> bool:
+        """Read the own desired state, if stored apart from the rows.
 
-        Wishes remain valid across epochs of the store, so once the store has
-        epochs they are in the part that is named after the service alone.
+        Desired states remain valid across epochs of the store, so once the
+        store has epochs they are in the part named after the service alone.
         """
         service = self._own.service
         if not self._store.epochs.newest:
@@ -92,7 +92,7 @@
         if not isinstance(outcome, RangeRead):
             return False
         for row in outcome.rows:
-            if row.name == wish_row(service, self._own.name):
+            if row.name == desired_state_row(service, self._own.name):
                 self._process_row(service, row)
         return True
 
@@ -109,8 +109,8 @@
                     service, decode_map(row.body, row.version)
                 )
             return
-        if row.name == wish_row(self._own.service, self._own.name):
-            self._on_wish(decode_wish(row))
+        if row.name == desired_state_row(self._own.service, self._own.name):
+            self._on_desired_state(decode_desired_state(row))
         if not row.name.key.startswith(KEY_MEMBER):
             return
         name = row.name.key.removeprefix(KEY_MEMBER)
--- a/plantaingrade/sidecar/control.py
+++ b/plantaingrade/sidecar/control.py
@@ -5,7 +5,7 @@
 from plantaingrade.config.coordinator import ConfigFollower
 from plantaingrade.holds.coordinator import HoldCoordinator
 from plantaingrade.http.messages import Request
-from plantaingrade.operators.desk import OperatorDesk
+from plantaingrade.operators.api import OperatorApi
 from plantaingrade.peers.calls import OFFER_CODEC, REPLY_CODEC
 from plantaingrade.peers.coordinator import PeerCoordinator
 from plantaingrade.peers.map_follower import HEADER_VERSION, PATH_MAP
@@ -36,7 +36,7 @@
         balance: BalanceCoordinator,
         config: ConfigFollower,
         desk: RelayHandler,
-        operators: OperatorDesk,
+        operators: OperatorApi,
     ) -> None:
         """Answer from the parts of the process."""
         self._peers = peers
@@ -74,7 +74,7 @@
             case '/-/move':
                 return await self._operators.async_move(body)
             case '/-/wish':
-                return await self._operators.async_read_wish()
+                return await self._operators.async_read_desired_state()
             case '/-/store/commit':
                 return Answer(
                     STATUS_OK, (), await self._desk.async_commit(body)
--- a/plantaingrade/sidecar/process.py
+++ b/plantaingrade/sidecar/process.py
@@ -20,7 +20,7 @@
 from plantaingrade.http.pool import split_address
 from plantaingrade.http.server import HttpServer, RequestServer
 from plantaingrade.keyspace.directory import KeyMaps
-from plantaingrade.operators.desk import OperatorDesk
+from plantaingrade.operators.api import OperatorApi
 from plantaingrade.peers.calls import PeerCalls
 from plantaingrade.peers.coordinator import PeerCoordinator, PeerHooks
 from plantaingrade.peers.directory import Directory
@@ -186,7 +186,7 @@
             self._loads,
             PeerHooks(
                 self._service_names,
-                lambda wish: self._operators.follow(wish),
+                lambda wish: self._operators.apply_desired_state(wish),
                 lambda digests: self._server_path.record_crash(digests),
                 lambda kind, priority: self._server_path.free_capacity(
                     kind, priority
@@ -315,7 +315,7 @@
             self._wire.answer_headers,
             self._clock,
         )
-        self._operators = OperatorDesk(
+        self._operators = OperatorApi(
             self._own,
             self._directory,
             self._maps,
@@ -326,8 +326,8 @@
             self._direct_store,
             self._clock,
         )
-        self._operators.apply_by(self._retreat.on_wish)
-        self._operators.show_life_by(lambda: self._life.present)
+        self._operators.set_desired_state_callback(self._retreat.on_wish)
+        self._operators.set_incarnation_source(lambda: self._life.present)
         self._peer_front = PeerFront(
             self._settings.service,
             self._server_path,
@@ -468,7 +468,7 @@
         self._log.write('store-epoch', epoch=epoch, before=before)
         if self._peers.has_joined:
             self._start(self._peers.async_begin_epoch())
-            self._start(self._operators.async_keep_wishes())
+            self._start(self._operators.async_restore_desired_states())
 
     def _on_joined(self) -> None:
         self._start(self._peers.async_refresh())
--- a/plantaingrade/sidecar/retreat.py
+++ b/plantaingrade/sidecar/retreat.py
@@ -5,7 +5,7 @@
 
 from plantaingrade.balance.coordinator import BalanceCoordinator
 from plantaingrade.eventlog import EventLog
-from plantaingrade.operators.wishes import Wish, WishedState
+from plantaingrade.operators.desired_state import DesiredState, TargetState
 from plantaingrade.requests.server_path import ServerPath
 
 # Part of the time that an evacuation may take after which nothing goes to the
@@ -66,9 +66,9 @@
         self._closing: asyncio.TimerHandle | None = None
         self._returning: asyncio.Task[None] | None = None
 
-    def on_wish(self, wish: Wish) -> None:
+    def on_wish(self, wish: DesiredState) -> None:
         """Follow what an operator wants of the own server."""
-        is_unwanted = wish.state is not WishedState.SERVE
+        is_unwanted = wish.state is not TargetState.SERVE
         if is_unwanted == self._is_unwanted:
             return
         self._is_unwanted = is_unwanted
--- a/soak/strangers.py
+++ b/soak/strangers.py
@@ -6,7 +6,7 @@
 
 from plantaingrade.holds.lease import MemberRow, encode_member_row
 from plantaingrade.holds.rows import TABLE, member_row
-from plantaingrade.operators.wishes import wish_row
+from plantaingrade.operators.desired_state import desired_state_row
 from plantaingrade.peers.entity import Member
 from soak.world import PEERS_PORT, Spot, World
 from standins.life import Heartbeat, Life
@@ -54,7 +54,7 @@
     name = chooser.choice(
         (
             member_row(spot.service, STRANGER, world.store_epoch),
-            wish_row(spot.service, spot.known_ip),
+            desired_state_row(spot.service, spot.known_ip),
         )
     )
     entry = {
--- a/tests/holds/test_strangers.py
+++ b/tests/holds/test_strangers.py
@@ -22,13 +22,13 @@
     encode_map,
 )
 from plantaingrade.keyspace.entity import KEY_COUNT
-from plantaingrade.operators.wishes import (
-    UnreadableWishError,
-    Wish,
-    WishedState,
-    decode_wish,
-    encode_wish,
-    wish_row,
+from plantaingrade.operators.desired_state import (
+    DesiredState,
+    TargetState,
+    UnreadableDesiredStateError,
+    decode_desired_state,
+    desired_state_row,
+    encode_desired_state,
 )
 from plantaingrade.peers.entity import Member
 from plantaingrade.store.entity import Row, RowName
@@ -42,8 +42,8 @@
 MEMBER = Member('m9', SERVICE, 'a', '10.0.0.9:7380', 'b9')
 GOOD_ROW = json.loads(encode_member_row(MemberRow(MEMBER, 900.0, 'b9.1')))
 GOOD_MAP = json.loads(encode_map(split_evenly(NAMES)))
-WISH = Wish(WishedState.DRAIN, 'c1', 'ada')
-GOOD_WISH = json.loads(encode_wish(WISH))
+WISH = DesiredState(TargetState.DRAIN, 'c1', 'ada')
+GOOD_WISH = json.loads(encode_desired_state(WISH))
 
 
 def put(world: World, name: RowName, body: bytes) -> None:
@@ -140,13 +140,13 @@
 
 @given(changed(GOOD_WISH))
 def test_no_wish_does_harm(fields) -> None:
-    name = wish_row(SERVICE, 'm1')
+    name = desired_state_row(SERVICE, 'm1')
     try:
-        wish = decode_wish(Row(name, json.dumps(fields).encode(), 3))
-    except UnreadableWishError:
+        wish = decode_desired_state(Row(name, json.dumps(fields).encode(), 3))
+    except UnreadableDesiredStateError:
         return
     assert wish.command_id
-    assert wish.state in set(WishedState)
+    assert wish.state in set(TargetState)
 
 
 @pytest.mark.parametrize('body', BAD_BODIES)
@@ -155,8 +155,8 @@
         decode_member_row('m9', body, 1)
     with pytest.raises(UnreadableMapError):
         decode_map(body, 1)
-    with pytest.raises(UnreadableWishError):
-        decode_wish(Row(wish_row(SERVICE, 'm1'), body, 1))
+    with pytest.raises(UnreadableDesiredStateError):
+        decode_desired_state(Row(desired_state_row(SERVICE, 'm1'), body, 1))
 
 
 BODIES = st.sampled_from(BAD_BODIES) | changed(GOOD_ROW).map(
