--- a/plantaingrade/eventlog.py
+++ b/plantaingrade/eventlog.py
@@ -73,7 +73,7 @@
         self._append(kind, now, fields)
         self.flush()
 
-    def count_by(self, on_event: Callable[[str], None]) -> None:
+    def set_event_callback(self, on_event: Callable[[str], None]) -> None:
         """Count every event, also those whose lines are dropped."""
         self._on_event = on_event
 
--- a/plantaingrade/holds/lease.py
+++ b/plantaingrade/holds/lease.py
@@ -108,7 +108,7 @@
             member,
             until_s,
             fields.text('write'),
-            fields.flag('takes'),
+            fields.boolean('takes'),
             version,
             base_until_s,
             witnesses,
@@ -122,7 +122,7 @@
 def _decode_witnesses(fields: Fields) -> tuple[Witness, ...]:
     if not fields.has('witnesses'):
         return ()
-    pairs = fields.rows('witnesses')
+    pairs = fields.array('witnesses')
     if len(pairs) > MAX_WITNESSES:
         raise SchemaError('Too many witnesses.')
     return tuple(_decode_witness(pair) for pair in pairs)
--- a/plantaingrade/keyspace/codec.py
+++ b/plantaingrade/keyspace/codec.py
@@ -78,11 +78,11 @@
 
 
 def _from_fields(fields: Fields, version: int) -> KeyMap:
-    fence = fields.whole(FIELD_FENCE)
+    fence = fields.integer(FIELD_FENCE)
     owners = _read_owners(fields)
     ranges = [
         _read_range(raw, len(owners), fence)
-        for raw in fields.rows(FIELD_RANGES)
+        for raw in fields.array(FIELD_RANGES)
     ]
     firsts = [each.first for each in ranges]
     if firsts != sorted(set(firsts)):
@@ -99,7 +99,7 @@
 
 
 def _read_owners(fields: Fields) -> list[str]:
-    names = fields.rows(FIELD_OWNERS)
+    names = fields.array(FIELD_OWNERS)
     return [Fields({FIELD_OWNERS: name}).text(FIELD_OWNERS) for name in names]
 
 
@@ -109,7 +109,7 @@
         raise SchemaError('A range of a key map does not have three elements.')
     fields = Fields(dict(zip(RANGE_NAMES, raw, strict=True)))
     return RangeFields(
-        fields.whole(NAME_FIRST, 0, KEY_COUNT - 1),
-        fields.whole(NAME_POSITION, 0, owners - 1),
-        fields.whole(FIELD_FENCE, 0, fence),
+        fields.integer(NAME_FIRST, 0, KEY_COUNT - 1),
+        fields.integer(NAME_POSITION, 0, owners - 1),
+        fields.integer(FIELD_FENCE, 0, fence),
     )
--- a/plantaingrade/operators/api.py
+++ b/plantaingrade/operators/api.py
@@ -428,15 +428,15 @@
         SchemaError: the bytes tell neither.
     """
     fields = parse_object(body)
-    first = fields.whole('first', 0, KEY_COUNT - 1)
-    last = fields.whole('last', first, KEY_COUNT - 1)
+    first = fields.integer('first', 0, KEY_COUNT - 1)
+    last = fields.integer('last', first, KEY_COUNT - 1)
     return KeyRange(first, last), fields.text('to')
 
 
 def _read_given(reply: bytes) -> bool:
     """Tell whether a process says that it gave keys away."""
     try:
-        return parse_object(reply).flag('given')
+        return parse_object(reply).boolean('given')
     except SchemaError:
         return False
 
--- a/plantaingrade/operators/desired_state.py
+++ b/plantaingrade/operators/desired_state.py
@@ -95,7 +95,7 @@
             fields.text('command', MAX_NAME_CHARS),
             fields.text('operator', MAX_NAME_CHARS, 0),
             row.version,
-            fields.whole('epoch', 0, MAX_EPOCH) if fields.has('epoch') else 0,
+            fields.integer('epoch', 0, MAX_EPOCH) if fields.has('epoch') else 0,
         )
     except (ValueError, SchemaError) as error:
         raise UnreadableDesiredStateError(
--- a/plantaingrade/platform/config.py
+++ b/plantaingrade/platform/config.py
@@ -42,19 +42,19 @@
 def _read_config(fields: Fields, body: bytes) -> RoutingConfig:
     services = {
         name: _read_service(name, Fields(raw))
-        for name, raw in fields.table('services').items()
+        for name, raw in fields.mapping('services').items()
     }
     routes = tuple(
         _read_route(name, Fields(raw))
-        for name, raw in fields.table('routes').items()
+        for name, raw in fields.mapping('routes').items()
     )
     for route in routes:
         _check_services(route, services)
     return RoutingConfig(
-        version=parse_version(fields.take('version')),
+        version=parse_version(fields.any_value('version')),
         routes=routes,
         service_by_name=services,
-        limits=_read_limits(Fields(fields.take('limits'))),
+        limits=_read_limits(Fields(fields.any_value('limits'))),
         source=body,
     )
 
@@ -62,7 +62,7 @@
 def _read_service(name: str, raw: Fields) -> ServiceConfig:
     return ServiceConfig(
         name=name,
-        is_keyed=raw.flag('sharded') if raw.has('sharded') else False,
+        is_keyed=raw.boolean('sharded') if raw.has('sharded') else False,
         health_path=raw.text('healthCheckPath', MAX_PATH_CHARS),
         max_connections=_count(raw, 'maxConnections', DEFAULT_CONNECTIONS),
         cold_per_s=_read_cold(raw),
@@ -79,10 +79,10 @@
     kind = raw.text('type')
     if kind not in {TYPE_IDEMPOTENT, TYPE_ONCE}:
         raise SchemaError(f'{name}: unknown type.')
-    timeout_s = parse_time(raw.take('timeout'))
+    timeout_s = parse_time(raw.any_value('timeout'))
     objective_s = timeout_s
     if raw.has('targetLatency'):
-        objective_s = parse_time(raw.take('targetLatency'))
+        objective_s = parse_time(raw.any_value('targetLatency'))
     return Route(
         name=name,
         host=raw.text('host', MAX_PATH_CHARS),
@@ -99,15 +99,17 @@
 
 
 def _count(raw: Fields, name: str, default: int) -> int:
-    return raw.whole(name) if raw.has(name) else default
+    return raw.integer(name) if raw.has(name) else default
 
 
 def _read_shares(raw: Fields) -> tuple[ServiceShare, ...]:
-    has_parts = raw.has('weightedServices') and raw.take('weightedServices')
+    has_parts = raw.has('weightedServices') and raw.any_value(
+        'weightedServices'
+    )
     if not has_parts:
         return (ServiceShare(raw.text('service'), 1.0),)
     shares = tuple(
-        _read_share(Fields(part)) for part in raw.rows('weightedServices')
+        _read_share(Fields(part)) for part in raw.array('weightedServices')
     )
     if sum(share.weight for share in shares) <= 0:
         raise SchemaError('Weights add up to nothing.')
@@ -128,8 +130,8 @@
 
 def _read_limits(raw: Fields) -> Limits:
     return Limits(
-        max_header_bytes=raw.whole('maxHeaderBytes'),
-        max_body_bytes=raw.whole('maxBodyBytes'),
-        header_timeout_s=parse_time(raw.take('headerTimeout')),
-        idle_timeout_s=parse_time(raw.take('idleTimeout')),
+        max_header_bytes=raw.integer('maxHeaderBytes'),
+        max_body_bytes=raw.integer('maxBodyBytes'),
+        header_timeout_s=parse_time(raw.any_value('headerTimeout')),
+        idle_timeout_s=parse_time(raw.any_value('idleTimeout')),
     )
--- a/plantaingrade/platform/reports.py
+++ b/plantaingrade/platform/reports.py
@@ -63,17 +63,17 @@
 
 
 def _read_heartbeat(instance: str, fields: Fields) -> Heartbeat:
-    cold_s = parse_time(fields.take('coldRemaining'))
+    cold_s = parse_time(fields.any_value('coldRemaining'))
     if cold_s > MAX_COLD_S:
         raise UnreadableFieldError('coldRemaining is out of bounds.')
     return Heartbeat(
         life=_read_life(instance, fields),
         service=fields.text('service'),
         address=fields.text('address'),
-        slots=fields.whole('capacity', 1, MAX_SLOTS),
+        slots=fields.integer('capacity', 1, MAX_SLOTS),
         state=ReportedState(fields.text('state')),
         cold_s=cold_s,
-        sequence=fields.whole('sequence'),
+        sequence=fields.integer('sequence'),
     )
 
 
@@ -92,4 +92,4 @@
 def _read_life(instance: str, fields: Fields) -> ServerLife:
     if not fields.has(FIELD_BORN):
         return ServerLife(instance)
-    return ServerLife(instance, fields.whole(FIELD_BORN, 1))
+    return ServerLife(instance, fields.integer(FIELD_BORN, 1))
--- a/plantaingrade/platform/store.py
+++ b/plantaingrade/platform/store.py
@@ -327,7 +327,7 @@
         fields = Fields(raw)
         part = fields.text('part', min_chars=0) if fields.has('part') else ''
         name = RowName(fields.text('table'), part, fields.text('key'))
-        number = fields.whole('rowVersion') if fields.has('rowVersion') else 0
+        number = fields.integer('rowVersion') if fields.has('rowVersion') else 0
     except SchemaError:
         return None
     is_deleted = raw.get('deleted') is True
--- a/plantaingrade/schema.py
+++ b/plantaingrade/schema.py
@@ -15,7 +15,7 @@
 # the platform have at most 200 bytes.
 MAX_CHARS = 200
 # Largest whole number that every writer of JSON keeps exactly.
-MAX_WHOLE = 9_007_199_254_740_992
+MAX_SAFE_INTEGER = 9_007_199_254_740_992
 DECODE_ERRORS = (ValueError, RecursionError)
 
 
@@ -57,7 +57,7 @@
         """Tell whether there is a field of this name."""
         return name in self._raw
 
-    def take(self, name: str) -> Any:
+    def any_value(self, name: str) -> Any:
         """Return a field of any type.
 
         Raises:
@@ -75,7 +75,7 @@
         Raises:
             SchemaError: the field is missing or no such text.
         """
-        raw = self.take(name)
+        raw = self.any_value(name)
         # What cannot be printed cannot stand in a header or a log, and half
         # of a surrogate pair cannot even be written as UTF-8.
         is_text = isinstance(raw, str) and raw.isprintable()
@@ -83,13 +83,15 @@
             return raw
         raise SchemaError(f'{name} is not a text.')
 
-    def whole(self, name: str, low: int = 0, high: int = MAX_WHOLE) -> int:
+    def integer(
+        self, name: str, low: int = 0, high: int = MAX_SAFE_INTEGER
+    ) -> int:
         """Return a whole number within bounds, both included.
 
         Raises:
             SchemaError: the field is missing or no such number.
         """
-        raw = self.take(name)
+        raw = self.any_value(name)
         # A truth value is an instance of ``int`` too.
         if type(raw) is int and low <= raw <= high:  # noqa: WPS516
             return raw
@@ -101,41 +103,41 @@
         Raises:
             SchemaError: the field is missing or no such number.
         """
-        raw = self.take(name)
+        raw = self.any_value(name)
         # No comparison with NaN holds.
         if type(raw) in {int, float} and low <= raw <= high:  # noqa: WPS516
             return float(raw)
         raise SchemaError(f'{name} is not a number in bounds.')
 
-    def flag(self, name: str) -> bool:
+    def boolean(self, name: str) -> bool:
         """Return a truth value.
 
         Raises:
             SchemaError: the field is missing or something else.
         """
-        raw = self.take(name)
+        raw = self.any_value(name)
         if isinstance(raw, bool):
             return raw
         raise SchemaError(f'{name} is not a truth value.')
 
-    def rows(self, name: str) -> list[Any]:
+    def array(self, name: str) -> list[Any]:
         """Return a list, whatever is in it.
 
         Raises:
             SchemaError: the field is missing or something else.
         """
-        raw = self.take(name)
+        raw = self.any_value(name)
         if isinstance(raw, list):
             return raw
         raise SchemaError(f'{name} is not a list.')
 
-    def table(self, name: str) -> dict[str, Any]:
+    def mapping(self, name: str) -> dict[str, Any]:
         """Return an object by its names, whatever is in it.
 
         Raises:
             SchemaError: the field is missing or something else.
         """
-        raw = self.take(name)
+        raw = self.any_value(name)
         if isinstance(raw, dict):
             return raw
         raise SchemaError(f'{name} is not an object.')
--- a/plantaingrade/sidecar/process.py
+++ b/plantaingrade/sidecar/process.py
@@ -156,7 +156,7 @@
         self._maps = KeyMaps()
         self._directory = Directory()
         self._figures = Figures()
-        self._log.count_by(self._figures.on_event)
+        self._log.set_event_callback(self._figures.on_event)
         self._loads = PeerLoads()
         self._life = BackendLife(settings.bounds.drain_s * FINISH_PART)
         self._config = ConfigFollower(
--- a/tests/sidecar/test_requests.py
+++ b/tests/sidecar/test_requests.py
@@ -189,7 +189,7 @@
             await place.server.async_crash()
             await rig.async_until(lambda: not place.process._orders.session)
             refused = []
-            place.process._log.count_by(refused.append)
+            place.process._log.set_event_callback(refused.append)
             reply = await rig.async_ask(place, '/cases/1', 'crashed', 5)
             headers = dict(reply.headers)
             return reply.status, headers[b'retry-after'], len(refused)
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -108,7 +108,7 @@
 def test_every_event_is_counted_also_those_dropped() -> None:
     log, _, _ = make_log()
     counted: list[str] = []
-    log.count_by(counted.append)
+    log.set_event_callback(counted.append)
     for _ in range(LINES_PER_KIND * 2):
         log.write('request')
     assert len(counted) == LINES_PER_KIND * 2
