--- a/plantaingrade/operators/__init__.py
+++ b/plantaingrade/operators/__init__.py
@@ -1,1 +1,1 @@
-"""Query and command language, and declarations."""
+"""Query and command language of operators, and declarations of services."""
--- a/plantaingrade/operators/api.py
+++ b/plantaingrade/operators/api.py
@@ -1,4 +1,4 @@
-"""Answer operators at any process on the platform."""
+"""Operator API: answers queries and runs commands at any process."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
     MAX_COMMAND_BYTES,
 )
 from plantaingrade.operators.desired_state import (
-    NO_WISH,
+    DEFAULT_DESIRED_STATE,
     DesiredState,
     TargetState,
     UnreadableDesiredStateError,
@@ -67,10 +67,12 @@
 )
 from plantaingrade.store.interface import Store
 
-# A release waits for running work, and the change for the store, in seconds.
+# In seconds. Releasing keys waits for running requests, and the change of the
+# map waits for the store.
 MOVE_TIMEOUT_S = 5.0
-# Pause before a lost wish is written again, where the store did not answer.
-KEEP_RETRY_S = 1.0
+# Pause in seconds before the next attempt to restore a desired state, if the
+# store did not answer.
+RESTORE_RETRY_S = 1.0
 
 STATUS_OK = 200
 STATUS_BAD_REQUEST = 400
@@ -85,8 +87,8 @@
     Unsettled: STATUS_UNAVAILABLE,
 }
 PATH_MOVE = '/-/move'
-PATH_WISH = '/-/wish'
-STATE_BY_COMMAND = {
+PATH_DESIRED_STATE = '/-/wish'
+TARGET_STATE_BY_COMMAND = {
     Drain: TargetState.DRAIN,
     Resume: TargetState.SERVE,
     Retire: TargetState.RETIRE,
@@ -94,18 +96,22 @@
 
 
 class OperatorApi:
-    """Queries from what this process knows; commands where they belong."""
+    """Answer queries from local state, run commands where they apply.
+
+    Keys are moved by the process that owns them, and a desired state is applied
+    by the process beside the server concerned.
+    """
 
     __slots__ = (
-        '_apply',
+        '_on_desired_state',
         '_calls',
         '_clock',
         '_config',
         '_directory',
-        '_followed',
-        '_given_by_member',
+        '_applied',
+        '_written_by_member',
         '_holds',
-        '_life',
+        '_get_incarnation',
         '_loads',
         '_maps',
         '_own',
@@ -124,7 +130,7 @@
         store: Store,
         clock: Clock,
     ) -> None:
-        """Use the parts of one process."""
+        """Use the components of one process."""
         self._own = own
         self._directory = directory
         self._maps = maps
@@ -134,122 +140,129 @@
         self._calls = calls
         self._store = store
         self._clock = clock
-        self._apply: Callable[[DesiredState], None] | None = None
-        self._followed = NO_WISH
-        # Wishes that this process has written, by the member they are for.
-        self._given_by_member: dict[str, tuple[Member, DesiredState]] = {}
-        self._life: Callable[[], ServerLife] | None = None
+        self._on_desired_state: Callable[[DesiredState], None] | None = None
+        self._applied = DEFAULT_DESIRED_STATE
+        # Desired states written by this process, by the member concerned.
+        self._written_by_member: dict[str, tuple[Member, DesiredState]] = {}
+        self._get_incarnation: Callable[[], ServerLife] | None = None
 
     def set_desired_state_callback(
-        self, apply: Callable[[DesiredState], None]
+        self, callback: Callable[[DesiredState], None]
     ) -> None:
-        """Call back with the wish for this process's own server."""
-        self._apply = apply
+        """Set the callback that receives the own server's desired state."""
+        self._on_desired_state = callback
 
-    def set_incarnation_source(self, life: Callable[[], ServerLife]) -> None:
-        """Ask for the present life of this process's own server."""
-        self._life = life
+    def set_incarnation_source(self, source: Callable[[], ServerLife]) -> None:
+        """Set the function that returns the own server's incarnation."""
+        self._get_incarnation = source
 
     async def async_statement(self, raw: Request, body: bytes) -> Answer:
-        """Answer one statement."""
+        """Run one statement and return its answer."""
         # The parser is loaded only where an operator uses it.
         from plantaingrade.operators import grammar  # noqa: WPS433
 
         if len(body) > MAX_COMMAND_BYTES:
-            return _error(STATUS_TOO_LARGE, 'statement too long')
+            return _error_answer(STATUS_TOO_LARGE, 'statement too long')
         try:
             statement = grammar.parse_statement(body.decode(errors='replace'))
         except StatementError as error:
-            return _error(STATUS_BAD_REQUEST, str(error))
+            return _error_answer(STATUS_BAD_REQUEST, str(error))
         if isinstance(statement, Query):
-            return _json(STATUS_OK, self._answer(statement))
+            return _json_answer(STATUS_OK, self._answer_query(statement))
         headers = dict(raw.headers)
         command_id = headers.get(HEADER_COMMAND_ID, b'').decode()
         if not command_id:
-            return _error(STATUS_BAD_REQUEST, 'x-command-id is missing')
+            return _error_answer(STATUS_BAD_REQUEST, 'x-command-id is missing')
         operator = headers.get(HEADER_OPERATOR, b'unnamed').decode()
         outcome = await self._async_command(statement, command_id, operator)
         fields = {'outcome': type(outcome).__name__.lower(), **asdict(outcome)}
-        return _json(STATUS_BY_OUTCOME[type(outcome)], fields)
+        return _json_answer(STATUS_BY_OUTCOME[type(outcome)], fields)
 
     async def async_move(self, body: bytes) -> Answer:
-        """Give keys of the own server away, as another process asks.
+        """Transfer keys of the own server at the request of another process.
 
-        It asks at an address, which may have passed to an instance of another
-        service; the member that is to get the keys tells of which they are.
+        The request comes to an address, which may have been reassigned to an
+        instance of another service. The target member must therefore belong to
+        the own service.
         """
         try:
             keys, target = _read_move(body)
         except SchemaError as error:
-            return _error(STATUS_BAD_REQUEST, str(error))
+            return _error_answer(STATUS_BAD_REQUEST, str(error))
         member = self._directory.find(target)
         if member is None or member.service != self._own.service:
-            return _error(STATUS_BAD_REQUEST, 'no member of this service')
+            return _error_answer(
+                STATUS_BAD_REQUEST, 'no member of this service'
+            )
         given = await self._holds.async_give([keys], target)
-        return _json(STATUS_OK, {'given': given})
+        return _json_answer(STATUS_OK, {'given': given})
 
     async def async_read_desired_state(self) -> Answer:
-        """Read and follow the wish for the own server."""
-        wish = await self._async_find_wish(self._own)
-        if wish is not None:
-            self.apply_desired_state(wish)
-        return _json(STATUS_OK, {'read': wish is not None})
-
-    def apply_desired_state(self, wish: DesiredState) -> None:
-        """Follow a wish for the own server, unless a later one is followed."""
-        if wish.is_older_than(self._followed):
+        """Read the desired state of the own server and apply it."""
+        desired = await self._async_find_desired_state(self._own)
+        if desired is not None:
+            self.apply_desired_state(desired)
+        return _json_answer(STATUS_OK, {'read': desired is not None})
+
+    def apply_desired_state(self, desired: DesiredState) -> None:
+        """Apply a desired state, unless a later one is already applied."""
+        if desired.is_older_than(self._applied):
             return
-        self._followed = wish
-        if self._apply is not None:
-            self._apply(wish)
+        self._applied = desired
+        if self._on_desired_state is not None:
+            self._on_desired_state(desired)
 
     async def async_restore_desired_states(self) -> None:
-        """Write wishes again that the store has lost with its last seconds.
+        """Rewrite desired states that a restored store no longer contains.
 
-        Whoever gave one was told that it stands.
+        A store restored from a backup lacks its last seconds of writes, but
+        the operators were told that their commands were accepted.
         """
-        kept = dict(self._given_by_member)
-        if self._followed.command_id:
-            kept[self._own.name] = (self._own, self._followed)
-        for member, wish in kept.values():
+        written = dict(self._written_by_member)
+        if self._applied.command_id:
+            written[self._own.name] = (self._own, self._applied)
+        for member, desired in written.values():
             if self._directory.find(member.name) is None:
                 continue
-            while not await self._async_keep(member, wish):
-                await asyncio.sleep(KEEP_RETRY_S)
+            while not await self._async_restore(member, desired):
+                await asyncio.sleep(RESTORE_RETRY_S)
 
-    async def _async_keep(self, member: Member, wish: DesiredState) -> bool:
-        """Write a wish again if it is lost; tell whether that is done."""
-        found = await self._async_find_wish(member)
+    async def _async_restore(
+        self, member: Member, desired: DesiredState
+    ) -> bool:
+        """Rewrite a lost desired state; return False if a retry is needed."""
+        found = await self._async_find_desired_state(member)
         if found is None:
             return False
-        if not found.is_older_than(wish):
+        if not found.is_older_than(desired):
             return True
-        outcome = await self._async_put(member, found, wish)
+        outcome = await self._async_put(member, found, desired)
         return isinstance(outcome, Committed)
 
     async def _async_put(
-        self, member: Member, found: DesiredState, wish: DesiredState
+        self, member: Member, found: DesiredState, desired: DesiredState
     ) -> TransactionOutcome:
-        """Write a wish in place of the one found."""
+        """Replace the stored desired state by another."""
         name = desired_state_row(member.service, member.name)
-        # A row that is not there has no version, and may be absent anew.
+        # A missing row has no version that names an epoch. It may be missing in
+        # the newest epoch as well, so the write is made there.
         newest = self._store.epochs.newest
         epoch = found.row_epoch if found.version else newest
         return await self._store.async_commit(
             Transaction(
                 (Expected(name, found.version),),
-                (Put(name, encode_desired_state(wish)),),
+                (Put(name, encode_desired_state(desired)),),
                 epoch=epoch,
             )
         )
 
-    def _answer(self, query: Query) -> Any:
+    def _answer_query(self, query: Query) -> Any:
         match query:
             case OwnerOf(service=service, key=key):
                 return self._explain_owner(service, key)
             case ShowServers(service=service):
                 return [
-                    self._describe(member)
+                    self._describe_member(member)
                     for member in self._directory.members()
                     if service in {'', member.service}
                 ]
@@ -270,11 +283,11 @@
                     'version': self._config.version,
                     'text': source.decode(errors='replace'),
                 }
-        return {'error': 'not known on this platform'}
+        return {'error': 'not supported on this platform'}
 
     def _explain_owner(self, service: str, key: str) -> dict[str, Any]:
         if not key.isdigit() or int(key) >= KEY_COUNT:
-            return {'error': f'{key!r} is no key: 0 to {KEY_COUNT - 1}'}
+            return {'error': f'{key!r} is not a key: 0 to {KEY_COUNT - 1}'}
         key_map = self._maps.find(service)
         assignment = key_map.find(int(key))
         if assignment is None:
@@ -289,10 +302,10 @@
             'map_version': key_map.version,
             'why': 'assigned in the row of the store with this version',
             'known_by': self._own.name,
-            **self._describe_life(assignment.owner),
+            **self._describe_incarnation(assignment.owner),
         }
 
-    def _describe(self, member: Member) -> dict[str, Any]:
+    def _describe_member(self, member: Member) -> dict[str, Any]:
         now = self._clock.now()
         load = self._loads.find(member.name, now)
         owned = self._maps.find(member.service).owned_by(member.name)
@@ -302,15 +315,18 @@
             'keys': sum(len(each.keys) for each in owned),
             'load': None if load is None else load.share,
             'suspect': self._directory.is_suspect(member.name, now),
-            **self._describe_life(member.name),
+            **self._describe_incarnation(member.name),
         }
 
-    def _describe_life(self, name: str) -> dict[str, Any]:
-        """Return the life of a server; only its own process knows it."""
-        if name != self._own.name or self._life is None:
+    def _describe_incarnation(self, name: str) -> dict[str, Any]:
+        """Return the incarnation of a server; only its process knows it."""
+        if name != self._own.name or self._get_incarnation is None:
             return {}
-        life = self._life()
-        return {'instance': life.instance, 'born_ms': life.born_ms}
+        incarnation = self._get_incarnation()
+        return {
+            'instance': incarnation.instance,
+            'born_ms': incarnation.born_ms,
+        }
 
     async def _async_command(
         self, command: Command, command_id: str, operator: str
@@ -318,42 +334,44 @@
         match command:
             case MoveKey(service=service, key=key, server=server):
                 if not key.isdigit():
-                    return Refused(command_id, f'{key!r} is no key')
+                    return Refused(command_id, f'{key!r} is not a key')
                 keys = KeyRange(int(key), int(key))
                 return await self._async_move(command_id, service, keys, server)
             case MoveKeys(service=service, server=server):
                 keys = KeyRange(command.first, command.last)
                 return await self._async_move(command_id, service, keys, server)
             case Drain() | Resume() | Retire():
-                wish = DesiredState(
-                    STATE_BY_COMMAND[type(command)],
+                desired = DesiredState(
+                    TARGET_STATE_BY_COMMAND[type(command)],
                     command_id,
                     operator,
                     epoch=self._store.epochs.newest,
                 )
-                return await self._async_wish(command.server, wish)
-        return Refused(command_id, 'not known on this platform')
+                return await self._async_set_desired_state(
+                    command.server, desired
+                )
+        return Refused(command_id, 'not supported on this platform')
 
     async def _async_move(
         self, command_id: str, service: str, keys: KeyRange, server: str
     ) -> CommandOutcome:
-        """Have each owner of the keys give them to one server."""
+        """Let each owner of the keys transfer them to one server."""
         target = self._find_member(server)
         key_map = self._maps.find(service)
         if target is None or target.service != service:
             return Refused(command_id, f'no server {server!r} of {service!r}')
-        is_range = keys.first <= keys.last < KEY_COUNT
-        if not is_range or not key_map.version:
+        is_valid = keys.first <= keys.last < KEY_COUNT
+        if not is_valid or not key_map.version:
             return Refused(command_id, 'no such keys')
         for assignment in key_map.assignments:
             part = assignment.keys.overlap(keys)
             if part is None or assignment.owner == target.name:
                 continue
-            if not await self._async_give(assignment.owner, part, target):
+            if not await self._async_transfer(assignment.owner, part, target):
                 return Unsettled(command_id)
         return Accepted(command_id, self._maps.find(service).version)
 
-    async def _async_give(
+    async def _async_transfer(
         self, owner: str, keys: KeyRange, target: Member
     ) -> bool:
         if owner == self._own.name:
@@ -366,54 +384,56 @@
         reply = await self._calls.async_post(
             member, PATH_MOVE, body, MOVE_TIMEOUT_S
         )
-        return reply is not None and _read_given(reply)
+        return reply is not None and _read_transfer_result(reply)
 
-    async def _async_wish(
-        self, server: str, wish: DesiredState
+    async def _async_set_desired_state(
+        self, server: str, desired: DesiredState
     ) -> CommandOutcome:
-        """Write a wish down, then tell the process that it concerns."""
+        """Store a desired state, then notify the process concerned."""
         member = self._find_member(server)
         if member is None:
-            return Refused(wish.command_id, f'no server {server!r}')
-        known = await self._async_find_wish(member)
+            return Refused(desired.command_id, f'no server {server!r}')
+        known = await self._async_find_desired_state(member)
         if known is None:
-            return Unsettled(wish.command_id)
-        if known.command_id == wish.command_id:
-            return AlreadyDone(wish.command_id, known.version)
-        outcome = await self._async_put(member, known, wish)
+            return Unsettled(desired.command_id)
+        if known.command_id == desired.command_id:
+            return AlreadyDone(desired.command_id, known.version)
+        outcome = await self._async_put(member, known, desired)
         match outcome:
             case Committed(version=version):
-                given = replace(wish, version=version)
-                self._given_by_member[member.name] = (member, given)
-                await self._async_tell(member)
-                return Accepted(wish.command_id, version)
+                written = replace(desired, version=version)
+                self._written_by_member[member.name] = (member, written)
+                await self._async_notify(member)
+                return Accepted(desired.command_id, version)
             case Conflict():
-                winner = await self._async_find_wish(member)
+                winner = await self._async_find_desired_state(member)
                 return Lost(
-                    wish.command_id,
+                    desired.command_id,
                     '' if winner is None else winner.command_id,
                 )
-        return Unsettled(wish.command_id)
+        return Unsettled(desired.command_id)
 
-    async def _async_tell(self, member: Member) -> None:
+    async def _async_notify(self, member: Member) -> None:
         if member.name == self._own.name:
             await self.async_read_desired_state()
         else:
-            await self._calls.async_post(member, PATH_WISH, b'')
+            await self._calls.async_post(member, PATH_DESIRED_STATE, b'')
 
-    async def _async_find_wish(self, member: Member) -> DesiredState | None:
-        """Return the wish for a member; nothing if the store is away."""
+    async def _async_find_desired_state(
+        self, member: Member
+    ) -> DesiredState | None:
+        """Return the desired state, or None if the store does not answer."""
         read = await self._store.async_read(TABLE, member.service)
         if not isinstance(read, RangeRead):
             return None
         name = desired_state_row(member.service, member.name)
         for row in read.rows:
             if row.name == name:
-                return _readable(row)
-        return NO_WISH
+                return _decode_or_default(row)
+        return DEFAULT_DESIRED_STATE
 
     def _find_member(self, server: str) -> Member | None:
-        """Return a member by its name or its IP address."""
+        """Find a member by its name or its IP address."""
         for member in self._directory.members():
             host = member.address.rpartition(':')[0]
             if server in {member.name, host}:
@@ -422,10 +442,10 @@
 
 
 def _read_move(body: bytes) -> tuple[KeyRange, str]:
-    """Return which keys are to be given to which member.
+    """Return the keys of a move and the member that is to receive them.
 
     Raises:
-        SchemaError: the bytes tell neither.
+        SchemaError: the body is not a valid move.
     """
     fields = parse_object(body)
     first = fields.integer('first', 0, KEY_COUNT - 1)
@@ -433,26 +453,29 @@
     return KeyRange(first, last), fields.text('to')
 
 
-def _read_given(reply: bytes) -> bool:
-    """Tell whether a process says that it gave keys away."""
+def _read_transfer_result(reply: bytes) -> bool:
+    """Return whether a process reports that it transferred the keys."""
     try:
         return parse_object(reply).boolean('given')
     except SchemaError:
         return False
 
 
-def _readable(row: Row) -> DesiredState:
-    """Return the wish in a row; one that cannot be read can be replaced."""
+def _decode_or_default(row: Row) -> DesiredState:
+    """Decode a row; an unreadable one gives the default of its version.
+
+    A command can then replace it.
+    """
     try:
         return decode_desired_state(row)
     except UnreadableDesiredStateError:
-        return replace(NO_WISH, version=row.version)
+        return replace(DEFAULT_DESIRED_STATE, version=row.version)
 
 
-def _json(status: int, fields: Any) -> Answer:
+def _json_answer(status: int, fields: Any) -> Answer:
     kind = ((b'content-type', b'application/json'),)
     return Answer(status, kind, json.dumps(fields).encode())
 
 
-def _error(status: int, text: str) -> Answer:
-    return _json(status, {'error': text})
+def _error_answer(status: int, text: str) -> Answer:
+    return _json_answer(status, {'error': text})
--- a/plantaingrade/operators/changes.py
+++ b/plantaingrade/operators/changes.py
@@ -6,7 +6,7 @@
 
 
 def describe_changes(in_force: str, wanted: str) -> list[str]:
-    """Return one line for each difference.
+    """Return one line for each added, removed or changed setting.
 
     Raises:
         DeclarationError: the wanted document has mistakes.
--- a/plantaingrade/operators/const.py
+++ b/plantaingrade/operators/const.py
@@ -1,4 +1,4 @@
-"""Constants of the operators' language."""
+"""Grammar of the operators' language, headers, and limits of documents."""
 
 GRAMMAR = r"""
 start: owner_of | show_servers | show_slices | show_config | show_decider
--- a/plantaingrade/operators/coordinator.py
+++ b/plantaingrade/operators/coordinator.py
@@ -1,4 +1,4 @@
-"""Answer queries from the map, and write commands to the journal."""
+"""Answer queries from the map and append commands to the journal."""
 
 from typing import Any
 
@@ -61,12 +61,12 @@
 
 
 class OperatorCoordinator:
-    """Serve operators at any process."""
+    """Run statements and declarations of operators at any process."""
 
     __slots__ = ('_decider', '_journal')
 
     def __init__(self, journal: JournalCoordinator, decider: Any) -> None:
-        """Read from and write to one journal."""
+        """Use one journal; ``decider`` is shown to operators."""
         self._journal = journal
         self._decider = decider
 
@@ -84,9 +84,9 @@
                 ]
             case ShowSlices(service=service):
                 return [
-                    asdict(part)
-                    for part in state.slices.values()
-                    if part.service == service
+                    asdict(slice_row)
+                    for slice_row in state.slices.values()
+                    if slice_row.service == service
                 ]
             case ShowConfig():
                 return {
@@ -106,9 +106,9 @@
         operator: str,
         text: str,
     ) -> CommandOutcome:
-        """Carry a command out at most once."""
+        """Run a command at most once for each command id."""
         if isinstance(command, MoveKeys):
-            return Refused(command_id, 'keys have no numbers here')
+            return Refused(command_id, 'keys of this platform are not numeric')
         state = self._journal.state
         target, effects = plan_command(state, command, command_id)
         commanded = Commanded(
@@ -122,10 +122,10 @@
             outcomes = await self._journal.async_append(commanded, *effects)
         except JournalUnavailableError:
             return Unsettled(command_id)
-        return self._judge(command_id, outcomes)
+        return self._to_command_outcome(command_id, outcomes)
 
     async def async_declare(self, text: str, based_on: int) -> CommandOutcome:
-        """Bring a declarations document into force.
+        """Replace the declarations by a new document.
 
         Raises:
             DeclarationError: the document has mistakes.
@@ -144,7 +144,7 @@
                 winner = f'generation {state.declaration_generation}'
                 return Lost('declaration', winner)
 
-    def _judge(
+    def _to_command_outcome(
         self,
         command_id: str,
         outcomes: list[ChangeOutcome],
@@ -174,9 +174,14 @@
     match command:
         case MoveKey(service=service, key=key, server=server):
             slice_id = hot_slice_id(service, key)
-            wish = OwnerWished(slice_id, find_member(state, server), command_id)
+            change = OwnerWished(
+                slice_id, find_member(state, server), command_id
+            )
             known = slice_id in state.slices
-            return slice_id, [wish] if known else [Carved(service, key), wish]
+            return slice_id, [change] if known else [
+                Carved(service, key),
+                change,
+            ]
         case MoveSlice(service=service, index=index, server=server):
             slice_id = range_slice_id(service, index)
             member = find_member(state, server)
@@ -189,7 +194,7 @@
 
 
 def find_member(state: MapState, server: str) -> str:
-    """Return the live incarnation of a server, or its name if none lives."""
+    """Return the current incarnation of a server, or its name without one."""
     for row in state.members.values():
         if row.server == server and row.state is not MemberState.OVER:
             return row.member
@@ -197,23 +202,25 @@
 
 
 def explain_owner(state: MapState, service: str, key: str) -> Any:
-    """Return who owns a key, and by which rows of the map."""
-    part = find_slice(state, service, key)
-    if part is None:
+    """Return the owner of a key and the rows of the map that assign it."""
+    slice_row = find_slice(state, service, key)
+    if slice_row is None:
         return {'error': 'unknown service'}
-    owner = state.members.get(part.owner or '')
+    owner = state.members.get(slice_row.owner or '')
     return {
         'key': key,
         'hash': f'{hash_key(key):016x}',
-        'slice': asdict(part),
+        'slice': asdict(slice_row),
         'owner': None if owner is None else _describe_member(state, owner),
         'generation': state.generation,
     }
 
 
 def _describe_member(state: MapState, row: MemberRow) -> dict[str, Any]:
-    owned = sum(part.owner == row.member for part in state.slices.values())
-    backing = sum(
-        part.successor == row.member for part in state.slices.values()
+    owned = sum(
+        slice_row.owner == row.member for slice_row in state.slices.values()
     )
-    return {**asdict(row), 'owned': owned, 'successor_of': backing}
+    successor_of = sum(
+        slice_row.successor == row.member for slice_row in state.slices.values()
+    )
+    return {**asdict(row), 'owned': owned, 'successor_of': successor_of}
--- a/plantaingrade/operators/declarations.py
+++ b/plantaingrade/operators/declarations.py
@@ -1,4 +1,4 @@
-"""Read declarations documents, with the line of every mistake."""
+"""Parse declarations documents and report the line of each mistake."""
 
 from typing import Any
 
@@ -36,26 +36,26 @@
 
 
 class Mistake(Struct, frozen=True):
-    """One mistake in a document."""
+    """Mistake in a document and the line on which it is."""
 
     line: int
     text: str
 
 
 class DeclarationError(PlantaingradeError):
-    """Report every mistake of a document; nothing of it is in force."""
+    """Report all mistakes of a document; none of it is applied."""
 
-    advice = 'Correct the lines named; the declarations in force stay.'
+    advice = 'Correct the lines named; the previous declarations stay in force.'
 
     def __init__(self, mistakes: list[Mistake]) -> None:
-        """Keep the mistakes."""
+        """Keep the mistakes and join them to one message."""
         self.mistakes = mistakes
         lines = [f'line {each.line}: {each.text}' for each in mistakes]
         super().__init__('; '.join(lines))
 
 
 def read_declaration(text: str) -> tuple[ServiceRow, ...]:
-    """Return the services that a document declares.
+    """Parse a document and return the services that it declares.
 
     Raises:
         DeclarationError: names the line of each mistake.
@@ -65,17 +65,17 @@
     except yaml.MarkedYAMLError as error:
         line = error.problem_mark.line + 1 if error.problem_mark else 1
         raise DeclarationError(
-            [Mistake(line, error.problem or 'no YAML')],
+            [Mistake(line, error.problem or 'invalid YAML')],
         ) from error
-    reader = _Reader()
+    reader = _DocumentReader()
     services = reader.read(root)
     if reader.mistakes:
         raise DeclarationError(reader.mistakes)
     return services
 
 
-class _Reader:
-    """Walk the nodes of one document and collect mistakes."""
+class _DocumentReader:
+    """Convert the YAML nodes of a document and collect its mistakes."""
 
     __slots__ = ('mistakes',)
 
@@ -86,9 +86,9 @@
         top = self._mapping(root, 'the document')
         for name, node in top.items():
             if name != CONF_SERVICES:
-                self._blame(node, f'unknown field {name!r}')
+                self._add_mistake(node, f'unknown field {name!r}')
         if CONF_SERVICES not in top:
-            self._blame(root, 'no services declared')
+            self._add_mistake(root, 'no services declared')
             return ()
         services = self._mapping(top[CONF_SERVICES], CONF_SERVICES)
         return tuple(
@@ -99,34 +99,36 @@
         if not name or not all(
             char.isalnum() or char in '._-' for char in name
         ):
-            self._blame(node, f'service name {name!r} may not be used')
+            self._add_mistake(node, f'invalid service name {name!r}')
         fields = self._mapping(node, f'service {name}')
         for field, child in fields.items():
             if field not in FIELDS:
-                self._blame(child, f'unknown field {field!r}')
+                self._add_mistake(child, f'unknown field {field!r}')
         if CONF_SLICES not in fields:
-            self._blame(node, f'service {name} needs {CONF_SLICES}')
+            self._add_mistake(
+                node, f'service {name} must declare {CONF_SLICES}'
+            )
         weights = self._weights(fields.get(CONF_WEIGHTS))
         return ServiceRow(
             name=name,
-            slices=self._whole(
+            slices=self._integer(
                 fields.get(CONF_SLICES),
                 MIN_SLICES,
                 MIN_SLICES,
                 MAX_SLICES,
             ),
-            keyed=self._flag(fields.get(CONF_KEYED)),
-            unfenced_grace_ms=self._whole(
+            keyed=self._boolean(fields.get(CONF_KEYED)),
+            unfenced_grace_ms=self._integer(
                 fields.get(CONF_GRACE),
                 DEFAULT_GRACE_MS,
                 0,
                 MAX_GRACE_MS,
             ),
-            tenants=self._names(fields.get(CONF_TENANTS)),
+            tenants=self._string_list(fields.get(CONF_TENANTS)),
             weight_imbalance=weights['imbalance'],
             weight_churn=weights['churn'],
             weight_unavailable=weights['unavailable'],
-            churn_budget=self._share(
+            churn_budget=self._fraction(
                 fields.get(CONF_BUDGET),
                 DEFAULT_CHURN_BUDGET,
             ),
@@ -138,12 +140,12 @@
         what: str,
     ) -> dict[str, yaml.Node]:
         if not isinstance(node, yaml.MappingNode):
-            self._blame(node, f'{what} must be a mapping')
+            self._add_mistake(node, f'{what} must be a mapping')
             return {}
         found: dict[str, yaml.Node] = {}
         for name, child in node.value:
             if str(name.value) in found:
-                self._blame(name, f'{name.value!r} stands twice')
+                self._add_mistake(name, f'duplicate name {name.value!r}')
             found[str(name.value)] = child
         return found
 
@@ -151,10 +153,10 @@
         fields = {} if node is None else self._mapping(node, CONF_WEIGHTS)
         for name, child in fields.items():
             if name not in WEIGHTS:
-                self._blame(child, f'unknown weight {name!r}')
+                self._add_mistake(child, f'unknown weight {name!r}')
         return {name: self._number(fields.get(name), 1.0) for name in WEIGHTS}
 
-    def _whole(
+    def _integer(
         self,
         node: yaml.Node | None,
         default: int,
@@ -163,53 +165,53 @@
     ) -> int:
         if node is None:
             return default
-        number = _load(node)
-        if not _is_whole(number) or not low <= number <= high:
-            self._blame(node, f'must be a whole number, {low} to {high}')
+        number = _convert(node)
+        if not _is_integer(number) or not low <= number <= high:
+            self._add_mistake(node, f'must be an integer from {low} to {high}')
             return default
         return number
 
     def _number(self, node: yaml.Node | None, default: float) -> float:
         if node is None:
             return default
-        number = _load(node)
-        whole_or_float = _is_whole(number) or isinstance(number, float)
-        if not whole_or_float or number < 0:
-            self._blame(node, 'must be a number, 0 or more')
+        number = _convert(node)
+        is_number = _is_integer(number) or isinstance(number, float)
+        if not is_number or number < 0:
+            self._add_mistake(node, 'must be a number, 0 or more')
             return default
         return float(number)
 
-    def _share(self, node: yaml.Node | None, default: float) -> float:
+    def _fraction(self, node: yaml.Node | None, default: float) -> float:
         number = self._number(node, default)
         if number > 1:
-            self._blame(node, 'must be a share, 0 to 1')
+            self._add_mistake(node, 'must be a number from 0 to 1')
             return default
         return number
 
-    def _flag(self, node: yaml.Node | None) -> bool:
-        flag = True if node is None else _load(node)
+    def _boolean(self, node: yaml.Node | None) -> bool:
+        flag = True if node is None else _convert(node)
         if not isinstance(flag, bool):
-            self._blame(node, 'must be true or false')
+            self._add_mistake(node, 'must be true or false')
             return True
         return flag
 
-    def _names(self, node: yaml.Node | None) -> tuple[str, ...]:
-        names = [] if node is None else _load(node)
+    def _string_list(self, node: yaml.Node | None) -> tuple[str, ...]:
+        names = [] if node is None else _convert(node)
         if not isinstance(names, list) or not all(
             isinstance(name, str) for name in names
         ):
-            self._blame(node, 'must be a list of names')
+            self._add_mistake(node, 'must be a list of names')
             return ()
         return tuple(names)
 
-    def _blame(self, node: yaml.Node | None, text: str) -> None:
+    def _add_mistake(self, node: yaml.Node | None, text: str) -> None:
         line = 1 if node is None else node.start_mark.line + 1
         self.mistakes.append(Mistake(line, text))
 
 
-def _is_whole(number: Any) -> bool:
+def _is_integer(number: Any) -> bool:
     return isinstance(number, int) and not isinstance(number, bool)
 
 
-def _load(node: yaml.Node) -> Any:
+def _convert(node: yaml.Node) -> Any:
     return yaml.safe_load(yaml.serialize(node))
--- a/plantaingrade/operators/desired_state.py
+++ b/plantaingrade/operators/desired_state.py
@@ -1,7 +1,8 @@
-"""Operators' wishes for servers, kept as rows of the store.
+"""Desired states of servers, set by operators and kept as rows of the store.
 
-A wish outlives every process. Of two operators that wish differently at the
-same moment one wins, by the version of the row, and the other is told.
+A desired state survives the restart of every process. If two operators write
+different states at the same time, the version of the row decides which one is
+applied, and the other operator gets a conflict.
 """
 
 import json
@@ -15,13 +16,13 @@
 from plantaingrade.store.entity import Row, RowName
 from plantaingrade.store.epochs import MAX_EPOCH, epoch_of, number_of
 
-KEY_WISH = 'wish/'
-# Names of commands and operators come from headers, which may be long.
+KEY_DESIRED_STATE = 'wish/'
+# Command ids and operator names come from headers, which may be long.
 MAX_NAME_CHARS = 4096
 
 
 class TargetState(StrEnum):
-    """What an operator wants of a server."""
+    """State into which an operator puts a server."""
 
     SERVE = 'serve'
     DRAIN = 'drain'
@@ -29,15 +30,15 @@
 
 
 class UnreadableDesiredStateError(PlantaingradeError):
-    """Report a row that holds no wish."""
+    """Report a row that holds no valid desired state."""
 
-    advice = 'Another program writes to the same table, or a newer version.'
+    advice = 'Another program or a newer version writes to the same table.'
 
 
 class DesiredState(Struct, frozen=True):
-    """A wish for one member, and the command that brought it.
+    """Desired state of one member, and the command that set it.
 
-    ``epoch`` is that of the store in which the command was given.
+    ``epoch`` is the epoch of the store in which the command was given.
     """
 
     state: TargetState
@@ -52,41 +53,41 @@
         return epoch_of(self.version)
 
     def is_older_than(self, other: 'DesiredState') -> bool:
-        """Tell whether another wish came later.
+        """Return whether the other state was set later.
 
-        A copy of the store's rows is read in another epoch than its wishes were
-        given in.
+        Rows restored from a backup of the store are read in another epoch than
+        the one in which they were written.
         """
         if self.epoch != other.epoch:
             return self.epoch < other.epoch
         return number_of(self.version) < number_of(other.version)
 
 
-NO_WISH = DesiredState(TargetState.SERVE, '', '')
+DEFAULT_DESIRED_STATE = DesiredState(TargetState.SERVE, '', '')
 
 
 def desired_state_row(service: str, member: str) -> RowName:
-    """Return the name of the row with the wish for a member."""
-    return RowName(TABLE, service, KEY_WISH + member)
+    """Return the name of the row with the desired state of a member."""
+    return RowName(TABLE, service, KEY_DESIRED_STATE + member)
 
 
-def encode_desired_state(wish: DesiredState) -> bytes:
-    """Return a row's body."""
+def encode_desired_state(desired: DesiredState) -> bytes:
+    """Return the body of the row for a desired state."""
     fields = {
-        'state': wish.state.value,
-        'command': wish.command_id,
-        'operator': wish.operator,
+        'state': desired.state.value,
+        'command': desired.command_id,
+        'operator': desired.operator,
     }
-    if wish.epoch:
-        fields['epoch'] = wish.epoch
+    if desired.epoch:
+        fields['epoch'] = desired.epoch
     return json.dumps(fields, separators=(',', ':')).encode()
 
 
 def decode_desired_state(row: Row) -> DesiredState:
-    """Return the wish that a row holds.
+    """Return the desired state that a row holds.
 
     Raises:
-        UnreadableDesiredStateError: the bytes are no wish.
+        UnreadableDesiredStateError: the body is not a valid desired state.
     """
     try:
         fields = parse_object(row.body)
@@ -99,5 +100,5 @@
         )
     except (ValueError, SchemaError) as error:
         raise UnreadableDesiredStateError(
-            'DesiredState not understood.'
+            'Desired state cannot be decoded.'
         ) from error
--- a/plantaingrade/operators/entity.py
+++ b/plantaingrade/operators/entity.py
@@ -1,4 +1,4 @@
-"""Statements of the operators' language, and their outcomes."""
+"""Statements of the operators' language and outcomes of commands."""
 
 from msgspec import Struct
 
@@ -6,13 +6,13 @@
 
 
 class StatementError(PlantaingradeError):
-    """Report a statement that the grammar does not know."""
+    """Report a statement that does not match the grammar."""
 
     advice = 'The grammar is in docs/OPERATIONS.md.'
 
 
 class OwnerOf(Struct, frozen=True):
-    """Ask who owns a key, and why."""
+    """Show the owner of a key and the map row that assigns it."""
 
     service: str
     key: str
@@ -35,7 +35,7 @@
 
 
 class ShowDecider(Struct, frozen=True):
-    """Show which process decides."""
+    """Show which process is the decider."""
 
 
 class ShowCommands(Struct, frozen=True):
@@ -43,7 +43,7 @@
 
 
 class MoveKey(Struct, frozen=True):
-    """Give one key an assignment of its own, at a server."""
+    """Move one key to a server, apart from the rest of its slice."""
 
     service: str
     key: str
@@ -51,7 +51,7 @@
 
 
 class MoveKeys(Struct, frozen=True):
-    """Move a range of numbered keys, both ends included, to a server."""
+    """Move a range of numeric keys to a server, both ends included."""
 
     service: str
     first: int
@@ -68,19 +68,19 @@
 
 
 class Drain(Struct, frozen=True):
-    """Move everything away from a server."""
+    """Move all slices or keys away from a server."""
 
     server: str
 
 
 class Resume(Struct, frozen=True):
-    """Let a drained server own slices again."""
+    """Allow a drained server to own slices or keys again."""
 
     server: str
 
 
 class Retire(Struct, frozen=True):
-    """Drain a server for good."""
+    """Drain a server permanently."""
 
     server: str
 
@@ -93,21 +93,21 @@
 
 
 class Accepted(Struct, frozen=True):
-    """The command took effect at a generation."""
+    """The command took effect in this generation of the map."""
 
     command_id: str
     generation: int
 
 
 class AlreadyDone(Struct, frozen=True):
-    """The same command took effect before."""
+    """A command with the same id took effect before."""
 
     command_id: str
     generation: int
 
 
 class Lost(Struct, frozen=True):
-    """An earlier command stands against this one."""
+    """A conflicting command took effect first."""
 
     command_id: str
     winner: str
@@ -121,7 +121,10 @@
 
 
 class Unsettled(Struct, frozen=True):
-    """The journal does not answer; send the same command id again."""
+    """The outcome is unknown; retry with the same command id.
+
+    The journal or the store did not answer, or a transfer failed.
+    """
 
     command_id: str
     retry_after_s: int = 2
--- a/plantaingrade/operators/grammar.py
+++ b/plantaingrade/operators/grammar.py
@@ -25,7 +25,7 @@
 
 
 class _ToStatement(Transformer[Token, Statement]):
-    """Turn a parse tree into a typed statement."""
+    """Transform a parse tree into a typed statement."""
 
     def start(self, children: list[Statement]) -> Statement:
         return children[0]
@@ -85,10 +85,11 @@
 
 
 def parse_statement(text: str) -> Statement:
-    """Return the statement that the text spells.
+    """Parse a statement.
 
     Raises:
-        StatementError: the text is no statement; says where it went wrong.
+        StatementError: the text is not a valid statement; its message names
+            the place of the syntax error.
     """
     try:
         return _parser().parse(text)
