--- a/tests/operators/__init__.py
+++ b/tests/operators/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of operators."""
+"""Tests of the operators package."""
--- a/tests/operators/test_declarations.py
+++ b/tests/operators/test_declarations.py
@@ -1,4 +1,4 @@
-"""Declarations: every mistake by its line, nothing half applied."""
+"""Declarations: every mistake is reported with its line."""
 
 import pytest
 
@@ -8,7 +8,7 @@
     read_declaration,
 )
 
-GOOD = """
+VALID = """
 services:
   casebook:
     slices: 28
@@ -20,9 +20,9 @@
 """
 
 
-def test_good_document() -> None:
-    """A document becomes rows."""
-    casebook, referrals = read_declaration(GOOD)
+def test_valid_document() -> None:
+    """A valid document is rejected, or defaults and fields are misread."""
+    casebook, referrals = read_declaration(VALID)
     assert (casebook.slices, casebook.keyed) == (28, True)
     assert casebook.weight_unavailable == 3
     assert referrals.keyed is False
@@ -46,28 +46,28 @@
         ('', 1),
     ],
 )
-def test_mistakes_are_named_by_line(text: str, line: int) -> None:
-    """An operator mistypes; the document in force stays."""
-    with pytest.raises(DeclarationError) as refused:
+def test_mistake_is_reported_with_its_line(text: str, line: int) -> None:
+    """A mistake is accepted or reported for another line."""
+    with pytest.raises(DeclarationError) as caught:
         read_declaration(text)
-    assert line in {mistake.line for mistake in refused.value.mistakes}
+    assert line in {mistake.line for mistake in caught.value.mistakes}
 
 
-def test_every_mistake_is_named_at_once() -> None:
-    """No round trip for each mistake."""
+def test_all_mistakes_are_reported_at_once() -> None:
+    """Only the first mistake is reported, so each costs a round trip."""
     text = 'services:\n  a:\n    slices: x\n    keyed: y\n    tenants: 1\n'
-    with pytest.raises(DeclarationError) as refused:
+    with pytest.raises(DeclarationError) as caught:
         read_declaration(text)
-    assert len(refused.value.mistakes) == 3
+    assert len(caught.value.mistakes) == 3
 
 
 def test_plan_shows_differences() -> None:
-    """What would change is shown before it does."""
-    wanted = GOOD.replace(
+    """The plan hides a change or shows one where nothing changes."""
+    wanted = VALID.replace(
         'slices: 28', 'slices: 28\n    unfenced_grace_ms: 100'
     )
-    assert describe_changes(GOOD, wanted) == [
+    assert describe_changes(VALID, wanted) == [
         '~ casebook.unfenced_grace_ms: 400 -> 100',
     ]
-    assert describe_changes(GOOD, GOOD) == []
-    assert describe_changes('', GOOD) == ['+ casebook', '+ referrals']
+    assert describe_changes(VALID, VALID) == []
+    assert describe_changes('', VALID) == ['+ casebook', '+ referrals']
--- a/tests/operators/test_language.py
+++ b/tests/operators/test_language.py
@@ -1,4 +1,4 @@
-"""The operators' language, and what commands lead to."""
+"""The operators' language and the outcomes of commands."""
 
 import asyncio
 from typing import Any
@@ -49,7 +49,7 @@
     ],
 )
 def test_statements(text: str, statement: Statement) -> None:
-    """Each form of the grammar."""
+    """A statement of the grammar is parsed into the wrong command."""
     assert parse_statement(text) == statement
 
 
@@ -57,8 +57,8 @@
     'text',
     ['', 'drain', 'drop everything', 'move slice x of a to b', 'owner of in x'],
 )
-def test_nonsense_is_explained(text: str) -> None:
-    """A mistyped statement names the place and changes nothing."""
+def test_syntax_error_is_reported(text: str) -> None:
+    """A mistyped statement runs as a command or raises another error."""
     with pytest.raises(StatementError, match='Not understood'):
         parse_statement(text)
 
@@ -76,23 +76,23 @@
     )
 
 
-def test_command_sent_twice_is_done_once() -> None:
-    """The answer to a command was lost; the operator sends it again."""
+def test_command_sent_twice_runs_once() -> None:
+    """The answer to a command is lost; the resent command runs twice."""
     operators = _operators(FakeTable())
     assert isinstance(_send(operators, 'drain a', 'c1'), Accepted)
     assert isinstance(_send(operators, 'drain a', 'c1'), AlreadyDone)
 
 
-def test_loser_of_a_conflict_is_told_the_winner() -> None:
-    """Two operators at two processes command one server at one moment."""
+def test_conflicting_command_reports_the_winner() -> None:
+    """Two operators command one server at two processes, both succeed."""
     table = FakeTable()
-    here, there = _operators(table), _operators(table)
-    assert isinstance(_send(here, 'drain a', 'c1'), Accepted)
-    assert _send(there, 'resume a', 'c2') == Lost('c2', 'c1')
+    first, second = _operators(table), _operators(table)
+    assert isinstance(_send(first, 'drain a', 'c1'), Accepted)
+    assert _send(second, 'resume a', 'c2') == Lost('c2', 'c1')
 
 
-def test_command_in_an_outage_is_unsettled_and_safe_to_repeat() -> None:
-    """The table service is down; the operator is told when to come back."""
+def test_command_during_an_outage_can_be_retried() -> None:
+    """The table service is down; the command is refused or lost for good."""
     table = FakeTable()
     operators = _operators(table)
     table.down = True
@@ -103,14 +103,14 @@
     assert isinstance(_send(operators, 'drain a', 'c1'), Accepted)
 
 
-def test_impossible_command_is_refused() -> None:
-    """A command names a server that does not exist."""
+def test_command_for_unknown_server_is_refused() -> None:
+    """A command for an unknown server is accepted."""
     outcome = _send(_operators(FakeTable()), 'drain nobody', 'c1')
     assert isinstance(outcome, Refused)
 
 
-def test_move_of_a_key_gives_it_an_assignment() -> None:
-    """A contested case is moved away from the rest of its range."""
+def test_moved_key_gets_its_own_slice() -> None:
+    """Moving one hot key moves the whole slice or nothing."""
     operators = _operators(FakeTable())
     outcome = _send(operators, 'move key 4711 in casebook to c', 'c1')
     assert isinstance(outcome, Accepted)
@@ -119,15 +119,15 @@
     assert answer['slice']['wanted_owner'] == 'c'
 
 
-def test_retire_is_for_good() -> None:
-    """A retired server does not come back by a resume."""
+def test_retired_server_cannot_be_resumed() -> None:
+    """A resume brings a retired server back into service."""
     operators = _operators(FakeTable())
     _send(operators, 'retire a', 'c1')
     assert isinstance(_send(operators, 'resume a', 'c2'), Refused)
 
 
-def test_owner_is_explained() -> None:
-    """An operator asks who owns a key, and why."""
+def test_owner_query_returns_owner_and_successor() -> None:
+    """The answer names the wrong owner or successor of a key."""
     answer = explain_owner(make_state(), 'casebook', '4711')
     assert answer['owner']['member'] == 'a'
     assert answer['owner']['state'] == MemberState.READY
