--- a/plantaingrade/cli.py
+++ b/plantaingrade/cli.py
@@ -1,4 +1,4 @@
-"""Command line."""
+"""Command line interface."""
 
 import asyncio
 import getpass
@@ -46,8 +46,8 @@
 @click.option('--dialect', required=True, help='status or text.')
 @click.option('--checks-fence/--no-checks-fence', required=True)
 def run(**flags: Any) -> None:
-    """Run the process beside one backend server."""
-    # Only this command needs the data path; the others start faster without.
+    """Run the process for one backend server."""
+    # Only this command needs the data path; the others start faster without it.
     from plantaingrade.node.run import async_run  # noqa: WPS433
 
     try:
@@ -67,25 +67,25 @@
         'x-command-id': command_id or uuid.uuid4().hex,
         'x-operator': getpass.getuser(),
     }
-    statement = ' '.join(_quoted(word) for word in words).encode()
-    _show(_call(at, 'statement', statement, headers))
+    statement = ' '.join(_quote(word) for word in words).encode()
+    _print_answer(_call(at, 'statement', statement, headers))
 
 
 @main.command()
 @click.option('--at', required=True, help='Any process, ip:port.')
 @click.argument('document', type=click.File('rb'))
 def apply(at: str, document: Any) -> None:
-    """Bring a declarations document into force."""
+    """Apply a declarations document."""
     _, in_force = _call(at, 'statement', b'show config', {})
     headers = {'x-based-on': str(in_force['generation'])}
-    _show(_call(at, 'declaration', document.read(), headers))
+    _print_answer(_call(at, 'declaration', document.read(), headers))
 
 
 @main.command()
 @click.option('--at', required=True, help='Any process, ip:port.')
 @click.argument('document', type=click.File('r'))
 def plan(at: str, document: Any) -> None:
-    """Compare a declarations document with what is in force."""
+    """Compare a declarations document with the one in force."""
     from plantaingrade.operators.changes import describe_changes  # noqa: WPS433
 
     _, in_force = _call(at, 'statement', b'show config', {})
@@ -99,7 +99,7 @@
 @main.command()
 @click.option('--at', required=True, help='Any process, ip:port.')
 def confirm(at: str) -> None:
-    """Ask every process which generation it has in force."""
+    """Check that every process has applied the current generation."""
     _, servers = _call(at, 'statement', b'show servers', {})
     _, config = _call(at, 'statement', b'show config', {})
     behind = []
@@ -107,10 +107,12 @@
         _, status = _call(row['http'], 'status', None, {})
         if status.get('generation', 0) < config['generation']:
             behind.append(row['server'])
-    _show((not behind, {'generation': config['generation'], 'behind': behind}))
+    _print_answer(
+        (not behind, {'generation': config['generation'], 'behind': behind})
+    )
 
 
-def _quoted(word: str) -> str:
+def _quote(word: str) -> str:
     return f'"{word}"' if ' ' in word else word
 
 
@@ -134,8 +136,8 @@
         raise click.ClickException(f'{at} does not answer: {error}') from error
 
 
-def _show(answer: tuple[bool, Any]) -> None:
-    fine, body = answer
+def _print_answer(answer: tuple[bool, Any]) -> None:
+    is_ok, body = answer
     click.echo(json.dumps(body, indent=2))
-    if not fine:
+    if not is_ok:
         sys.exit(1)
--- a/plantaingrade/clock.py
+++ b/plantaingrade/clock.py
@@ -5,17 +5,17 @@
 
 
 class Clock(Protocol):
-    """Return seconds that never run backwards."""
+    """Monotonic time source."""
 
     def now(self) -> float:
         """Return the current reading in seconds."""
 
 
 class BootClock:
-    """Read the boot-time clock of the instance.
+    """Boot-time clock of the instance.
 
-    Every process of one instance shares this clock, and it goes on counting
-    while the instance is suspended, which ``CLOCK_MONOTONIC`` does not.
+    All processes of an instance share this clock. Unlike ``CLOCK_MONOTONIC``,
+    it also counts the time during which the instance is suspended.
     """
 
     __slots__ = ()
--- a/plantaingrade/cloud/const.py
+++ b/plantaingrade/cloud/const.py
@@ -1,4 +1,4 @@
-"""Constants of the platform's clients."""
+"""Timeouts and protocol constants of the platform's clients."""
 
 TABLE_TIMEOUT_S = 1.0
 OBJECT_TIMEOUT_S = 5.0
--- a/plantaingrade/cloud/entity.py
+++ b/plantaingrade/cloud/entity.py
@@ -1,4 +1,4 @@
-"""Typed outcomes of the platform's services."""
+"""Rows, write outcomes and errors of the platform's services."""
 
 from msgspec import Struct
 
@@ -6,15 +6,15 @@
 
 
 class PlatformUnavailableError(PlantaingradeError):
-    """Report that a service did nothing: it was not reached or refused."""
+    """Report that a service was unreachable or refused, and did nothing."""
 
-    advice = 'Ownership goes on without it; the call is tried again.'
+    advice = 'Ownership does not depend on it; the call is retried.'
 
 
 class PlatformOutcomeUnknownError(PlantaingradeError):
-    """Report that a write may have taken effect: its answer was lost."""
+    """Report that a write may have taken effect, as its answer was lost."""
 
-    advice = 'Read back by the write id before writing again.'
+    advice = 'Look for the write id before writing again.'
 
 
 class Stored(Struct, frozen=True):
@@ -22,7 +22,7 @@
 
 
 class Conflicted(Struct, frozen=True):
-    """The condition did not hold; nothing was written."""
+    """The condition failed; nothing was written."""
 
 
 WriteOutcome = Stored | Conflicted
--- a/plantaingrade/cloud/objects.py
+++ b/plantaingrade/cloud/objects.py
@@ -1,4 +1,4 @@
-"""Client of the platform's object store, over the published S3 REST calls.
+"""Client of the platform's object store, using the S3 REST API.
 
 Requests are not signed.
 """
@@ -19,26 +19,26 @@
     __slots__ = ('_address', '_bucket', '_pool')
 
     def __init__(self, pool: Pool, address: str, bucket: str) -> None:
-        """Use one bucket at one address."""
+        """Use a bucket of the object store at an address."""
         self._pool = pool
         self._address = address
         self._bucket = bucket
 
     async def async_put(self, name: str, body: bytes) -> None:
-        """Write an object; the same name always holds the same bytes.
+        """Write an object; the content of a name never changes.
 
         Raises:
-            PlatformUnavailableError: the object may not be there.
+            PlatformUnavailableError: the object may not have been written.
         """
         status, _ = await self._call('PUT', name, body)
         if status != STATUS_OK:
             raise PlatformUnavailableError('Object store refused the write.')
 
     async def async_get(self, name: str) -> bytes | None:
-        """Return an object, or nothing if there is none.
+        """Return an object, or None if it does not exist.
 
         Raises:
-            PlatformUnavailableError: no answer.
+            PlatformUnavailableError: the object store did not answer.
         """
         status, body = await self._call('GET', name, b'')
         if status == STATUS_NOT_FOUND:
--- a/plantaingrade/cloud/table.py
+++ b/plantaingrade/cloud/table.py
@@ -1,6 +1,6 @@
 """Client of the platform's transactional table service.
 
-It speaks the published JSON protocol of DynamoDB (API version 2012-08-10):
+It uses the JSON protocol of DynamoDB (API version 2012-08-10):
 GetItem, PutItem with a condition, and Query, all with strong consistency.
 Requests are not signed.
 """
@@ -34,21 +34,21 @@
 
 
 class TableClient:
-    """Read rows and write them under a condition."""
+    """Read rows, and write rows on a condition."""
 
     __slots__ = ('_address', '_pool', '_table')
 
     def __init__(self, pool: Pool, address: str, table: str) -> None:
-        """Use one table at one address."""
+        """Use a table of the service at an address."""
         self._pool = pool
         self._address = address
         self._table = table
 
     async def async_get(self, partition: str, sort: int) -> Row | None:
-        """Return a row, or nothing if there is none.
+        """Return a row, or None if it does not exist.
 
         Raises:
-            PlatformUnavailableError: no answer.
+            PlatformUnavailableError: the service did not answer.
         """
         answer = await self._read('GetItem', {'Key': _key(partition, sort)})
         fields = answer.get('Item')
@@ -58,7 +58,7 @@
         """Return the rows of a partition whose sort key is above ``after``.
 
         Raises:
-            PlatformUnavailableError: no answer.
+            PlatformUnavailableError: the service did not answer.
         """
         answer = await self._read(
             'Query',
@@ -73,7 +73,7 @@
         return [_to_row(fields) for fields in answer['Items']]
 
     async def async_put_new(self, row: Row) -> WriteOutcome:
-        """Write a row that must not exist yet.
+        """Write a row if it does not exist yet.
 
         Raises:
             PlatformUnavailableError: nothing was written.
@@ -85,7 +85,7 @@
         )
 
     async def async_replace(self, row: Row, expected: int) -> WriteOutcome:
-        """Write a row in place of the one with the expected version.
+        """Replace a row if it has the expected version.
 
         Raises:
             PlatformUnavailableError: nothing was written.
@@ -104,31 +104,33 @@
         try:
             reply = await self._call('PutItem', request)
         except (TimeoutError, ChannelClosedError) as error:
-            raise PlatformOutcomeUnknownError('Table write lost.') from error
+            raise PlatformOutcomeUnknownError(
+                'No answer to a table write.'
+            ) from error
         if reply.status == STATUS_OK:
             return Stored()
         if CONDITION_FAILED in reply.body.decode():
             return Conflicted()
         raise PlatformUnavailableError('Table service refused the write.')
 
-    async def _read(self, name: str, request: dict[str, Any]) -> Any:
+    async def _read(self, operation: str, request: dict[str, Any]) -> Any:
         request['ConsistentRead'] = True
         try:
-            reply = await self._call(name, request)
+            reply = await self._call(operation, request)
         except (TimeoutError, ChannelClosedError) as error:
             raise PlatformUnavailableError('Table read failed.') from error
         if reply.status != STATUS_OK:
             raise PlatformUnavailableError('Table service refused the read.')
         return json.loads(reply.body)
 
-    async def _call(self, name: str, request: dict[str, Any]) -> Reply:
+    async def _call(self, operation: str, request: dict[str, Any]) -> Reply:
         request['TableName'] = self._table
         call = Call(
             'POST',
             self._address,
             '/',
             (
-                ('x-amz-target', TARGET_PREFIX + name),
+                ('x-amz-target', TARGET_PREFIX + operation),
                 ('content-type', CONTENT_TYPE),
             ),
             json.dumps(request).encode(),
@@ -137,7 +139,9 @@
             async with asyncio.timeout(TABLE_TIMEOUT_S):
                 return await fetch(self._pool, call)
         except ConnectFailedError as error:
-            raise PlatformUnavailableError('Table not reached.') from error
+            raise PlatformUnavailableError(
+                'Table service not reachable.'
+            ) from error
 
 
 def _key(partition: str, sort: int) -> dict[str, Any]:
--- a/plantaingrade/codec.py
+++ b/plantaingrade/codec.py
@@ -11,27 +11,29 @@
 
 
 class Message(Struct, frozen=True, tag=True, tag_field=TAG):
-    """Message of a union; its bytes name its class."""
+    """Member of a union of messages; the encoded tag names its class."""
 
 
 class MalformedMessageError(PlantaingradeError):
-    """Report bytes that are no message of the expected type."""
+    """Report bytes that cannot be decoded to the expected type."""
 
-    advice = 'The sender runs another version, or is no plantaingrade process.'
+    advice = (
+        'The sender runs another version or is not a plantaingrade process.'
+    )
 
 
 class Codec:
     """Encode and decode one type, or a union of messages.
 
-    Its decoder is made when it is first used: a process needs few of its
-    codecs at its start.
+    The decoder is created on first use, as a process needs only a few of its
+    codecs when it starts.
     """
 
-    __slots__ = ('_decoder', '_root')
+    __slots__ = ('_decoder', '_message_type')
 
-    def __init__(self, root: Any) -> None:
-        """Name the type."""
-        self._root = root
+    def __init__(self, message_type: Any) -> None:
+        """Set the type to encode and decode."""
+        self._message_type = message_type
         self._decoder: json.Decoder[Any] | None = None
 
     def encode(self, message: Any) -> bytes:
@@ -39,14 +41,14 @@
         return json.encode(message)
 
     def decode(self, raw: bytes | str) -> Any:
-        """Return the message held in raw bytes.
+        """Decode a message.
 
         Raises:
-            MalformedMessageError: the bytes are no such message.
+            MalformedMessageError: the bytes are not a message of this type.
         """
         if self._decoder is None:
-            self._decoder = json.Decoder(self._root)
+            self._decoder = json.Decoder(self._message_type)
         try:
             return self._decoder.decode(raw)
         except DECODE_ERRORS as error:
-            raise MalformedMessageError('Message not understood.') from error
+            raise MalformedMessageError('Message cannot be decoded.') from error
--- a/plantaingrade/const.py
+++ b/plantaingrade/const.py
@@ -1,4 +1,4 @@
-"""Constants that several packages share."""
+"""Constants shared by several packages."""
 
 MS_PER_S = 1000
 PERCENT = 100
--- a/plantaingrade/datagrams.py
+++ b/plantaingrade/datagrams.py
@@ -7,16 +7,16 @@
 from plantaingrade.codec import Codec, MalformedMessageError
 from plantaingrade.http.pool import split_address
 
-# Below the smallest path unit of Ethernet, so that no datagram is cut.
+# Below the MTU of Ethernet, so that datagrams are not fragmented.
 MAX_DATAGRAM_BYTES = 1400
 
 
 class TypedEndpoint(asyncio.DatagramProtocol):
-    """Send and receive messages of one codec."""
+    """Send and on_message messages of one codec."""
 
     __slots__ = (
         '_codec',
-        '_receive',
+        '_on_message',
         '_transport',
         'bytes_received',
         'bytes_sent',
@@ -25,9 +25,9 @@
         'sent',
     )
 
-    def __init__(self, receive: Callable[[Any], None], codec: Codec) -> None:
-        """Hand each message to ``receive``."""
-        self._receive = receive
+    def __init__(self, on_message: Callable[[Any], None], codec: Codec) -> None:
+        """Pass each received message to ``on_message``."""
+        self._on_message = on_message
         self._codec = codec
         self._transport: Any = None
         self.sent = 0
@@ -49,7 +49,7 @@
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: Any) -> None:  # noqa: WPS110
-        """Decode a datagram; count and drop what is none of ours."""
+        """Decode a datagram; count and drop a malformed one."""
         self.received += 1
         self.bytes_received += len(data)
         try:
@@ -57,14 +57,17 @@
         except MalformedMessageError:
             self.malformed += 1
             return
-        self._receive(message)
+        self._on_message(message)
 
     def send(self, message: Any, address: str) -> None:
-        """Send a message; like any datagram it may be lost."""
+        """Send a message as a datagram, which may be lost."""
         self.send_all(message, (address,))
 
     def send_all(self, message: Any, addresses: Collection[str]) -> None:
-        """Send a message to several addresses; it is encoded once."""
+        """Encode a message once and send it to several addresses.
+
+        A message too long for one datagram is dropped.
+        """
         if self._transport is None or not addresses:
             return
         raw = self._codec.encode(message)
@@ -76,7 +79,7 @@
         self.bytes_sent += len(raw) * len(addresses)
 
     def fits(self, message: Any) -> bool:
-        """Tell whether a message can be sent in one datagram."""
+        """Return whether a message fits into one datagram."""
         return len(self._codec.encode(message)) <= MAX_DATAGRAM_BYTES
 
     def close(self) -> None:
--- a/plantaingrade/errors.py
+++ b/plantaingrade/errors.py
@@ -1,8 +1,8 @@
-"""Base of every error that plantaingrade raises."""
+"""Base class of all errors that plantaingrade raises."""
 
 
 class PlantaingradeError(Exception):
-    """Report a failure together with what the reader can do about it."""
+    """Report a failure, with advice on how to resolve it."""
 
     advice = 'See docs/OPERATIONS.md.'
 
--- a/plantaingrade/metrics.py
+++ b/plantaingrade/metrics.py
@@ -10,7 +10,7 @@
 
 
 class Metrics:
-    """Instruments of one process and a reader for them."""
+    """Metric instruments of one process, and a reader for them."""
 
     __slots__ = ('_duration', '_events', '_provider', '_reader')
 
@@ -40,7 +40,7 @@
         outcome: Outcome,
         elapsed_ms: float,
     ) -> None:
-        """Record one request under its tenant and class."""
+        """Record the duration of a request by tenant, class and outcome."""
         self._duration.record(
             elapsed_ms,
             {
@@ -56,13 +56,13 @@
         self._events.add(1, {'kind': kind})
 
     def to_json(self) -> str:
-        """Return all figures as OpenTelemetry JSON."""
-        figures = self._reader.get_metrics_data()
-        return '{}' if figures is None else figures.to_json(indent=None)
+        """Return all metrics as OpenTelemetry JSON."""
+        metrics = self._reader.get_metrics_data()
+        return '{}' if metrics is None else metrics.to_json(indent=None)
 
 
 def outcome_name(outcome: Outcome) -> str:
-    """Return the word for an outcome in headers and metrics."""
+    """Return the name of an outcome in headers and metrics."""
     match outcome:
         case Answered():
             return 'answered'
--- a/plantaingrade/node/__init__.py
+++ b/plantaingrade/node/__init__.py
@@ -1,1 +1,1 @@
-"""One process: its settings, its parts, and their start and stop."""
+"""Process of the journal-based cluster: settings, components, lifecycle."""
--- a/plantaingrade/node/parts.py
+++ b/plantaingrade/node/components.py
@@ -1,4 +1,4 @@
-"""The parts of one incarnation, built and joined."""
+"""Components of one incarnation and the connections between them."""
 
 import os
 from typing import Any
@@ -36,8 +36,8 @@
 from plantaingrade.routing.targets import TargetChooser
 
 
-class Platform(Struct):
-    """What this process uses of the platform."""
+class PlatformClients(Struct):
+    """Clients of the services that a process uses."""
 
     table: TableClient
     journal: JournalCoordinator
@@ -49,8 +49,8 @@
         settings: Settings,
         member: str,
         clock: Clock,
-    ) -> 'Platform':
-        """Connect nothing yet; know the addresses."""
+    ) -> 'PlatformClients':
+        """Create the clients without connecting them."""
         host, _ = split_address(settings.http)
         pool = Pool(clock, host)
         table = TableClient(pool, settings.table, settings.table_name)
@@ -59,7 +59,7 @@
 
 
 def make_row(settings: Settings) -> MemberRow:
-    """Return the row of a new incarnation."""
+    """Return the member row of a new incarnation."""
     nonce = os.urandom(INCARNATION_BYTES).hex()
     return MemberRow(
         member=f'{settings.server}#{nonce}',
@@ -74,8 +74,8 @@
     )
 
 
-class Parts:
-    """The coordinators of one incarnation, listening to one another."""
+class Components:
+    """Coordinators of one incarnation, connected by callbacks."""
 
     __slots__ = (
         'admission',
@@ -98,10 +98,10 @@
         self,
         settings: Settings,
         row: MemberRow,
-        platform: Platform,
+        platform: PlatformClients,
         clock: Clock,
     ) -> None:
-        """Build every part; the row names its witnesses by now."""
+        """Create every component; the row must name its witnesses."""
         self.row = row
         self.clock = clock
         self.platform = platform
@@ -115,7 +115,7 @@
             settings.backend,
             DIALECT_BY_NAME[settings.dialect],
         )
-        self._build_control()
+        self._build_control_plane()
         self._build_data_path()
 
     @property
@@ -124,34 +124,34 @@
         return self.platform.journal
 
     def state(self) -> MapState:
-        """Return the map as this process knows it."""
+        """Return the local copy of the map."""
         return self.platform.journal.state
 
     def own_row(self) -> MemberRow | None:
-        """Return this member's row as the journal has it."""
+        """Return this member's row in the local copy of the journal."""
         return self.state().members.get(self.row.member)
 
     def accepts_work(self) -> bool:
-        """Tell whether work without a key may come here."""
+        """Return whether requests without a key may be sent here."""
         row = self.own_row()
         ready = row is not None and row.state is MemberState.READY
         serving = self.backend.state is not BackendState.DOWN
         return ready and serving and not self.leaving
 
     def is_lost(self) -> bool:
-        """Tell whether this incarnation can never hold a lease again."""
+        """Return whether this incarnation can never hold a lease again."""
         row = self.own_row()
         over = row is None or row.state is MemberState.OVER
         return over or self.leases.holder.is_lost()
 
     def is_empty(self) -> bool:
-        """Tell whether nothing is owned and nothing is in flight."""
+        """Return whether no slice is owned and no request is in flight."""
         return (
             not self.ownership.owned_slices()
             and not self.ownership.in_flight.total()
         )
 
-    def _build_control(self) -> None:
+    def _build_control_plane(self) -> None:
         clock, send = self.clock, self.endpoint.send
         self.leases = LeaseCoordinator(self.row, self.state, clock, send)
         self.ownership = OwnershipCoordinator(
@@ -177,8 +177,8 @@
         )
 
     def _may_decide(self) -> bool:
-        # Who is cut off still reaches the table service, but hears nothing
-        # of its peers; somebody else decides better.
+        # A process that is partitioned from its peers may still reach the table
+        # service, but it should not decide without their heartbeats.
         return self.joined and not self.leaving and self.leases.is_held()
 
     def _build_data_path(self) -> None:
@@ -210,18 +210,18 @@
             case Offer() | OfferAccepted() | Release():
                 self.ownership.on_message(message)
             case _:
-                proven = self.leases.on_message(message)
-                if proven is not None:
-                    self.ownership.on_proven(proven, message.epoch)
+                proven_member = self.leases.on_message(message)
+                if proven_member is not None:
+                    self.ownership.on_proven(proven_member, message.epoch)
 
     def _on_record(self, record: Record, outcomes: list[ChangeOutcome]) -> None:
         self.ownership.on_record(record, outcomes)
         self.leases.forget_ended()
         for change in record.changes:
-            mine = isinstance(change, Witnessed)
-            if mine and change.member == self.row.member:
-                self._follow_witnesses(change)
+            is_witnessed = isinstance(change, Witnessed)
+            if is_witnessed and change.member == self.row.member:
+                self._update_witnesses(change)
 
-    def _follow_witnesses(self, change: Witnessed) -> None:
+    def _update_witnesses(self, change: Witnessed) -> None:
         if change.epoch > self.row.epoch:
             self.leases.on_new_epoch(change.epoch, change.witnesses)
--- a/plantaingrade/node/control.py
+++ b/plantaingrade/node/control.py
@@ -1,4 +1,4 @@
-"""The paths under ``/-/`` that operators and callers' libraries use."""
+"""HTTP endpoints under ``/-/`` for operators and client libraries."""
 
 import json
 from collections.abc import Callable
@@ -40,7 +40,7 @@
 from plantaingrade.routing.respond import send_plain
 
 HEADER_BASED_ON = b'x-based-on'
-OK_STATUS = {
+STATUS_BY_OUTCOME = {
     Accepted: STATUS_OK,
     AlreadyDone: STATUS_OK,
     Lost: STATUS_CONFLICT,
@@ -49,8 +49,8 @@
 }
 
 
-class ControlPaths:
-    """Serve the control paths of one process."""
+class ControlHandler:
+    """Handle the control requests of one process."""
 
     __slots__ = ('_diagnose', '_metrics', '_operators', '_state')
 
@@ -61,14 +61,14 @@
         state: Callable[[], MapState],
         diagnose: Callable[[], dict[str, Any]],
     ) -> None:
-        """Use the parts of one process."""
+        """Use the components of one process."""
         self._operators = operators
         self._metrics = metrics
         self._state = state
         self._diagnose = diagnose
 
     async def async_handle(self, request: Request, caller: Channel) -> None:
-        """Serve one request."""
+        """Handle one request and send the response to the caller."""
         match request.target.split(b'/'):
             case [_, _, b'status']:
                 _send_json(caller, STATUS_OK, self._diagnose())
@@ -77,9 +77,9 @@
             case [_, _, b'routes', service]:
                 self._send_routes(caller, service.decode('ascii', 'replace'))
             case [_, _, b'statement']:
-                await self._statement(request, caller)
+                await self._handle_statement(request, caller)
             case [_, _, b'declaration']:
-                await self._declaration(request, caller)
+                await self._handle_declaration(request, caller)
             case _:
                 _send_error(caller, STATUS_NOT_FOUND, 'no such path')
 
@@ -93,9 +93,9 @@
             member: each.http for member, each in state.members.items()
         }
         routes = {
-            part.slice_id: http_by_member.get(part.owner or '', '')
-            for part in state.slices.values()
-            if part.service == service
+            slice_row.slice_id: http_by_member.get(slice_row.owner or '', '')
+            for slice_row in state.slices.values()
+            if slice_row.service == service
         }
         _send_json(
             caller,
@@ -109,7 +109,9 @@
             },
         )
 
-    async def _statement(self, request: Request, caller: Channel) -> None:
+    async def _handle_statement(
+        self, request: Request, caller: Channel
+    ) -> None:
         # The parser is loaded only where an operator uses it.
         from plantaingrade.operators import grammar  # noqa: WPS433
 
@@ -141,14 +143,18 @@
         )
         _send_outcome(caller, outcome)
 
-    async def _declaration(self, request: Request, caller: Channel) -> None:
+    async def _handle_declaration(
+        self, request: Request, caller: Channel
+    ) -> None:
         raw = await read_body(caller)
         if len(raw) > MAX_DECLARATION_BYTES:
             _send_error(caller, STATUS_TOO_LARGE, 'document too long')
             return
         based_on = dict(request.headers).get(HEADER_BASED_ON, b'0')
         if not based_on.isdigit():
-            _send_error(caller, STATUS_BAD_REQUEST, 'x-based-on is no number')
+            _send_error(
+                caller, STATUS_BAD_REQUEST, 'x-based-on is not a number'
+            )
             return
         try:
             outcome = await self._operators.async_declare(
@@ -167,7 +173,7 @@
         after = str(outcome.retry_after_s).encode()
         headers = ((b'retry-after', after),)
     body = {'outcome': type(outcome).__name__.lower(), **asdict(outcome)}
-    _send_json(caller, OK_STATUS[type(outcome)], body, headers)
+    _send_json(caller, STATUS_BY_OUTCOME[type(outcome)], body, headers)
 
 
 def _send_error(caller: Channel, status: int, text: str) -> None:
@@ -177,8 +183,8 @@
 def _send_json(
     caller: Channel,
     status: int,
-    plain: Any,
+    fields: Any,
     headers: tuple[tuple[bytes, bytes], ...] = (),
 ) -> None:
     kind = (b'content-type', b'application/json')
-    send_plain(caller, status, json.dumps(plain).encode(), (kind, *headers))
+    send_plain(caller, status, json.dumps(fields).encode(), (kind, *headers))
--- a/plantaingrade/node/diagnostics.py
+++ b/plantaingrade/node/diagnostics.py
@@ -1,40 +1,40 @@
-"""The state of a process, for operators."""
+"""Status report of a process for operators."""
 
 from typing import Any
 
 from msgspec.structs import asdict
 
-from plantaingrade.node.parts import Parts
+from plantaingrade.node.components import Components
 
 
-def diagnose(parts: Parts) -> dict[str, Any]:
-    """Return what ``/-/status`` shows."""
-    row = parts.own_row()
-    state = parts.state()
-    endpoint = parts.endpoint
-    last = parts.ownership.last_takeover
+def diagnose(components: Components) -> dict[str, Any]:
+    """Return the fields of the response to ``/-/status``."""
+    row = components.own_row()
+    state = components.state()
+    endpoint = components.endpoint
+    last = components.ownership.last_takeover
     return {
-        'member': parts.row.member,
-        'service': parts.row.service,
-        'zone': parts.row.zone,
+        'member': components.row.member,
+        'service': components.row.service,
+        'zone': components.row.zone,
         'state': None if row is None else row.state,
-        'backend': parts.backend.state,
+        'backend': components.backend.state,
         'generation': state.generation,
         'declaration': state.declaration_generation,
-        'lease_left_s': parts.leases.expires_at() - parts.clock.now(),
-        'epochs': parts.leases.holder.epochs,
-        'witnessed_leases': len(parts.leases.witness),
-        'owned': len(parts.ownership.owned_slices()),
-        'not_in_journal': len(parts.ownership.table.acquired),
-        'takeovers': parts.ownership.takeovers,
+        'lease_left_s': components.leases.expires_at() - components.clock.now(),
+        'epochs': components.leases.holder.epochs,
+        'witnessed_leases': len(components.leases.witness),
+        'owned': len(components.ownership.owned_slices()),
+        'not_in_journal': len(components.ownership.table.acquired),
+        'takeovers': components.ownership.takeovers,
         'last_takeover': None if last is None else asdict(last),
-        'decider': parts.decider.is_decider(),
+        'decider': components.decider.is_decider(),
         'datagrams_sent': endpoint.sent,
         'datagrams_received': endpoint.received,
         'datagrams_malformed': endpoint.malformed,
         'bytes_sent': endpoint.bytes_sent,
         'bytes_received': endpoint.bytes_received,
-        'pulls': parts.membership.pulls,
-        'in_flight': parts.ownership.in_flight.total(),
-        'queued': len(parts.admission),
+        'pulls': components.membership.pulls,
+        'in_flight': components.ownership.in_flight.total(),
+        'queued': len(components.admission),
     }
--- a/plantaingrade/node/loops.py
+++ b/plantaingrade/node/loops.py
@@ -1,4 +1,4 @@
-"""The loops that keep one incarnation going."""
+"""Background loops of one incarnation."""
 
 import asyncio
 import os
@@ -16,123 +16,134 @@
     StateSet,
 )
 from plantaingrade.leases.const import RENEW_EVERY_S
+from plantaingrade.node.components import Components
 from plantaingrade.node.const import SUPERVISE_EVERY_S, TICK_S, WITNESS_EVERY_S
-from plantaingrade.node.parts import Parts
 
 SERVING = frozenset((BackendState.READY, BackendState.OVERLOADED))
-GONE = frozenset((BackendState.DOWN, BackendState.DRAINING))
+UNAVAILABLE = frozenset((BackendState.DOWN, BackendState.DRAINING))
 
 
 class Loops:
-    """Run the systems of one incarnation until cancelled."""
+    """Run the periodic work of one incarnation until it is stopped.
 
-    __slots__ = ('_parts', '_tasks', 'lost')
+    ``lease_lost`` is set when this incarnation can never hold a lease again.
+    """
 
-    def __init__(self, parts: Parts) -> None:
-        """Start nothing yet."""
-        self._parts = parts
+    __slots__ = ('_components', '_tasks', 'lease_lost')
+
+    def __init__(self, components: Components) -> None:
+        """Prepare without starting a loop."""
+        self._components = components
         self._tasks: list[asyncio.Task[Any]] = []
-        self.lost = asyncio.Event()
+        self.lease_lost = asyncio.Event()
 
-    def start_leases(self) -> None:
-        """Run what must run before this member is announced."""
+    def start_lease_loop(self) -> None:
+        """Start the loop that has to run before the announcement."""
         self._start(self._tick_forever())
 
-    def start_rest(self) -> None:
-        """Run what an announced member does."""
-        parts = self._parts
+    def start_member_loops(self) -> None:
+        """Start the loops of an announced member."""
+        components = self._components
         self._start(self._supervise_forever())
         self._start(self._witness_forever())
-        self._start(parts.backend.async_run())
-        self._start(parts.membership.async_run())
-        self._start(parts.journal.async_follow())
-        self._start(parts.decider.async_compete())
-        self._start(parts.decider.async_decide())
-        if parts.row.checks_fence:
+        self._start(components.backend.async_run())
+        self._start(components.membership.async_run())
+        self._start(components.journal.async_follow())
+        self._start(components.decider.async_compete())
+        self._start(components.decider.async_decide())
+        if components.row.checks_fence:
             self._start(self._extend_forever())
 
     async def async_stop(self) -> None:
-        """Cancel every loop."""
+        """Cancel every loop and wait until it has ended."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def async_try_append(self, *changes: Change) -> ChangeOutcome | None:
-        """Append a record; return its first outcome, or nothing."""
+        """Append a record and return its first outcome.
+
+        Returns None if the journal is unavailable.
+        """
         try:
-            outcomes = await self._parts.journal.async_append(*changes)
+            outcomes = await self._components.journal.async_append(*changes)
         except JournalUnavailableError:
             return None
         return outcomes[0]
 
     async def _tick_forever(self) -> None:
-        parts = self._parts
+        components = self._components
         while True:
-            parts.leases.tick()
-            parts.ownership.tick()
-            for owner in parts.ownership.outdated_proofs():
-                parts.leases.reopen_poll(owner)
+            components.leases.tick()
+            components.ownership.tick()
+            for owner in components.ownership.outdated_proofs():
+                components.leases.reopen_poll(owner)
             await asyncio.sleep(TICK_S)
 
     async def _supervise_forever(self) -> None:
         while True:
             await asyncio.sleep(SUPERVISE_EVERY_S)
-            if self._parts.is_lost():
-                member = self._parts.row.member
-                logging.warning('Lease of %s is lost for good', member)
-                self.lost.set()
+            if self._components.is_lost():
+                member = self._components.row.member
+                logging.warning('Lease of %s is lost permanently', member)
+                self.lease_lost.set()
                 return
-            changes = self._parts.ownership.pending_changes()
+            changes = self._components.ownership.pending_changes()
             if changes:
                 await self.async_try_append(*changes)
-            await self._follow_backend()
+            await self._sync_backend_state()
 
-    async def _follow_backend(self) -> None:
-        row = self._parts.own_row()
-        if row is None or self._parts.leaving:
+    async def _sync_backend_state(self) -> None:
+        row = self._components.own_row()
+        if row is None or self._components.leaving:
             return
-        serving = self._parts.backend.state in SERVING
-        gone = self._parts.backend.state in GONE
+        serving = self._components.backend.state in SERVING
+        unavailable = self._components.backend.state in UNAVAILABLE
         if serving:
-            self._parts.ownership.handover.cancel_leave()
-        elif gone:
-            self._parts.ownership.handover.leave()
-        # Only a process that holds a lease is ready: one that reaches no
-        # witness cannot serve slices.
-        leases = self._parts.leases
+            self._components.ownership.handover.cancel_leave()
+        elif unavailable:
+            self._components.ownership.handover.leave()
+        # A process without a lease is not ready: if it reaches no witness, it
+        # cannot serve slices.
+        leases = self._components.leases
         if row.state is MemberState.STARTING and serving and leases.is_held():
             await self._set_state(MemberState.READY, row.state)
-        unfit = gone or leases.is_isolated()
-        if row.state is MemberState.READY and unfit:
+        not_ready = unavailable or leases.is_isolated()
+        if row.state is MemberState.READY and not_ready:
             await self._set_state(MemberState.STARTING, row.state)
 
     async def _set_state(self, new: MemberState, old: MemberState) -> None:
-        change = StateSet(self._parts.row.member, new, old)
+        change = StateSet(self._components.row.member, new, old)
         await self.async_try_append(change)
 
     async def _witness_forever(self) -> None:
         while True:
             await asyncio.sleep(WITNESS_EVERY_S)
-            change = self._parts.leases.next_witness_change()
+            change = self._components.leases.next_witness_change()
             if change is not None:
                 await self.async_try_append(change)
 
     async def _extend_forever(self) -> None:
-        parts = self._parts
+        components = self._components
         while True:
             await asyncio.sleep(RENEW_EVERY_S)
-            if parts.ownership.in_flight.total():
-                await parts.backend.async_extend(parts.leases.expires_at())
+            if components.ownership.in_flight.total():
+                await components.backend.async_extend(
+                    components.leases.expires_at()
+                )
 
     def _start(self, loop: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(loop)
-        task.add_done_callback(_report_crash)
+        task.add_done_callback(_exit_on_failure)
         self._tasks.append(task)
 
 
-def _report_crash(task: asyncio.Task[Any]) -> None:
-    # The whole process ends with one of its loops: half alive it would serve
-    # while its lease or its view of the map no longer moves.
+def _exit_on_failure(task: asyncio.Task[Any]) -> None:
+    # End the whole process if one loop fails. It would otherwise go on serving
+    # with a lease or a map that is no longer updated.
     if not task.cancelled() and task.exception() is not None:
-        logging.error('A loop failed', exc_info=task.exception())
+        logging.error(
+            'A background loop failed, the process exits',
+            exc_info=task.exception(),
+        )
         os._exit(1)  # noqa: SLF001
--- a/plantaingrade/node/run.py
+++ b/plantaingrade/node/run.py
@@ -1,4 +1,4 @@
-"""Run a process until it is told to stop, through as many incarnations."""
+"""Run a process until it is stopped, as a series of incarnations."""
 
 import asyncio
 import signal
@@ -11,9 +11,9 @@
 
 
 async def async_run(settings: Settings) -> None:
-    """Serve until SIGTERM or SIGINT; leave without harming anyone.
+    """Serve until SIGTERM or SIGINT, then leave the cluster gracefully.
 
-    A member whose lease is lost for good comes back as a new incarnation.
+    A member that has lost its lease permanently rejoins as a new incarnation.
     """
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -21,16 +21,16 @@
         loop.add_signal_handler(number, stop.set)
     while not stop.is_set():
         async with Node(settings) as node:
-            await _first(stop, node.lost)
+            await _wait_for_any(stop, node.lease_lost)
             if stop.is_set():
                 await node.async_leave()
-                logging.info('Left')
+                logging.info('Left the cluster')
                 return
         await asyncio.sleep(REJOIN_PAUSE_S)
 
 
-async def _first(*events: asyncio.Event) -> None:
-    waits = [asyncio.ensure_future(event.wait()) for event in events]
-    await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-    for wait in waits:
-        wait.cancel()
+async def _wait_for_any(*events: asyncio.Event) -> None:
+    tasks = [asyncio.ensure_future(event.wait()) for event in events]
+    await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
+    for task in tasks:
+        task.cancel()
--- a/plantaingrade/node/runtime.py
+++ b/plantaingrade/node/runtime.py
@@ -1,4 +1,4 @@
-"""Run one incarnation from its announcement to its end."""
+"""Lifecycle of one incarnation: join, serve and leave."""
 
 import asyncio
 from types import TracebackType
@@ -24,16 +24,16 @@
 )
 from plantaingrade.leases.coordinator import choose_witnesses
 from plantaingrade.membership.rpc import make_server
+from plantaingrade.node.components import Components, PlatformClients, make_row
 from plantaingrade.node.const import (
     JOIN_RETRY_S,
     LEAVE_CHECK_S,
     LEAVE_LIMIT_S,
     LEAVE_LINGER_S,
 )
-from plantaingrade.node.control import ControlPaths
+from plantaingrade.node.control import ControlHandler
 from plantaingrade.node.diagnostics import diagnose
 from plantaingrade.node.loops import Loops
-from plantaingrade.node.parts import Parts, Platform, make_row
 from plantaingrade.node.settings import Settings
 from plantaingrade.operators.coordinator import OperatorCoordinator
 from plantaingrade.routing.const import CONTROL_PREFIX
@@ -44,11 +44,11 @@
     """One member of the cluster, as a context manager."""
 
     def __init__(self, settings: Settings, clock: Clock | None = None) -> None:
-        """Know the settings; connect to nothing yet."""
+        """Prepare an incarnation without connecting to anything."""
         self._settings = settings
         self._clock = clock or BootClock()
         self._row = make_row(settings)
-        self._platform = Platform.from_settings(
+        self._platform = PlatformClients.from_settings(
             settings,
             self._row.member,
             self._clock,
@@ -65,74 +65,74 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Stop everything that was started."""
+        """Stop the node without leaving the cluster."""
         await self.async_unload()
 
     @property
-    def lost(self) -> asyncio.Event:
-        """Return the event that this incarnation has lost its lease."""
-        return self._loops.lost
+    def lease_lost(self) -> asyncio.Event:
+        """Return the event set when the lease is lost permanently."""
+        return self._loops.lease_lost
 
     @property
     def state(self) -> MapState:
-        """Return the map as this process knows it."""
+        """Return the local copy of the map."""
         return self._platform.journal.state
 
     async def async_setup(self) -> None:
-        """Read the map, listen, announce this incarnation, run the loops."""
+        """Read the map, listen, announce the member and start the loops."""
         await self._load()
         self._row.witnesses = choose_witnesses(self.state, self._row)
-        self.parts = Parts(
+        self.components = Components(
             self._settings,
             self._row,
             self._platform,
             self._clock,
         )
-        self._loops = Loops(self.parts)
+        self._loops = Loops(self.components)
         await self._listen()
-        self._loops.start_leases()
+        self._loops.start_lease_loop()
         await self._announce()
-        self._loops.start_rest()
+        self._loops.start_member_loops()
 
     async def async_unload(self) -> None:
         """Cancel the loops and close the sockets."""
-        await self.parts.decider.async_resign()
+        await self.components.decider.async_resign()
         await self._loops.async_stop()
         await self._server.async_close()
         self._rpc.close()
-        self.parts.endpoint.close()
+        self.components.endpoint.close()
         self._platform.pool.close()
 
     async def async_leave(self) -> None:
-        """Hand everything over, finish what is in flight, then say so.
+        """Release all slices, finish running requests and record the end.
 
-        Releases go straight to the named successors, so leaving works while
-        the table service is down.
+        Releases are sent directly to the named successors, so leaving works
+        while the table service is down.
         """
-        began = self._clock.now()
-        self.parts.leaving = True
+        started_at = self._clock.now()
+        self.components.leaving = True
         self._server.end_connections()
-        self.parts.ownership.handover.leave()
-        self.parts.membership.gossip(len(self.state.members))
-        await self.parts.decider.async_resign()
+        self.components.ownership.handover.leave()
+        self.components.membership.gossip(len(self.state.members))
+        await self.components.decider.async_resign()
         draining = StateSet(self._row.member, MemberState.DRAINING)
         await self._loops.async_try_append(draining)
-        while not self._has_left(self._clock.now() - began):
+        while not self._may_stop(self._clock.now() - started_at):
             await asyncio.sleep(LEAVE_CHECK_S)
-        row = self.parts.own_row()
-        if row is not None and self.parts.is_empty():
+        row = self.components.own_row()
+        if row is not None and self.components.is_empty():
             ended = Ended(row.member, Proof.LEFT, row.epoch)
             await self._loops.async_try_append(ended)
 
-    def _has_left(self, elapsed_s: float) -> bool:
-        """Tell whether nothing holds this process back any more.
+    def _may_stop(self, elapsed_s: float) -> bool:
+        """Return whether the process may stop.
 
-        Callers use it as their entry, so it serves on for a while after its
-        slices are gone.
+        Callers use it as their entry point, so it goes on serving for a while
+        after its slices are released.
         """
         if elapsed_s > LEAVE_LIMIT_S:
             return True
-        busy = not self.parts.is_empty() or self._server.busy
+        busy = not self.components.is_empty() or self._server.busy
         return elapsed_s > LEAVE_LINGER_S and not busy
 
     async def _load(self) -> None:
@@ -144,17 +144,17 @@
                 await asyncio.sleep(JOIN_RETRY_S)
 
     async def _listen(self) -> None:
-        parts = self.parts
-        self._control = ControlPaths(
-            OperatorCoordinator(parts.journal, parts.decider),
-            parts.metrics,
-            parts.state,
-            lambda: diagnose(parts),
+        components = self.components
+        self._control = ControlHandler(
+            OperatorCoordinator(components.journal, components.decider),
+            components.metrics,
+            components.state,
+            lambda: diagnose(components),
         )
         self._server = HttpServer(self._clock, self._serve, refuse_malformed)
-        self._rpc = make_server(parts.journal)
+        self._rpc = make_server(components.journal)
         await self._server.async_listen(*split_address(self._settings.http))
-        await parts.endpoint.async_open(*split_address(self._settings.udp))
+        await components.endpoint.async_open(*split_address(self._settings.udp))
         await self._rpc.start(*split_address(self._settings.rpc))
 
     async def _announce(self) -> None:
@@ -166,7 +166,7 @@
                 case Rejected(reason=reason):
                     logging.warning('Cannot join yet: %s', reason.value)
             await asyncio.sleep(JOIN_RETRY_S)
-        self.parts.joined = True
+        self.components.joined = True
         logging.info('Joined as %s', self._row.member)
 
     async def _wait_for_declaration(self) -> None:
@@ -180,4 +180,4 @@
         if request.target.startswith(CONTROL_PREFIX):
             await self._control.async_handle(request, caller)
         else:
-            await self.parts.router.async_handle(request, caller)
+            await self.components.router.async_handle(request, caller)
--- a/plantaingrade/node/settings.py
+++ b/plantaingrade/node/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one process, validated."""
+"""Validated settings of one process."""
 
 import ipaddress
 import re
@@ -18,21 +18,21 @@
 
 
 class SettingsError(PlantaingradeError):
-    """Report every setting that cannot be used."""
+    """Report all invalid settings."""
 
     advice = 'Correct the flags or environment variables named.'
 
     def __init__(self, mistakes: list[str]) -> None:
-        """Keep the mistakes."""
+        """Keep the mistakes and join them to one message."""
         self.mistakes = mistakes
         super().__init__('; '.join(mistakes))
 
 
 class Settings(Struct, frozen=True):
-    """What a process is told when it starts.
+    """Settings of a process.
 
-    Addresses are ``ip:port``. The advertised ones are what other processes
-    use to reach this one, where it differs from where it listens.
+    Addresses are ``ip:port``. The advertised addresses are those at which other
+    processes reach this one, if they differ from those on which it listens.
     """
 
     server: str
@@ -55,10 +55,10 @@
 
     @classmethod
     def from_flags(cls, **flags: object) -> 'Settings':
-        """Return settings made of flags.
+        """Create settings from command line flags.
 
         Raises:
-            SettingsError: names each setting that cannot be used, and why.
+            SettingsError: names each invalid setting and the reason.
         """
         known = {each.name for each in fields(cls)}
         settings = cls(
@@ -70,7 +70,7 @@
         return settings
 
     def mistakes(self) -> list[str]:
-        """Return what is wrong with the settings."""
+        """Return a message for each invalid setting."""
         text_by_name = asdict(self)
         found = [
             f'{name}: {text!r} is not an IP address and port'
@@ -94,12 +94,12 @@
             )
         if self.dialect not in DIALECT_BY_NAME:
             choices = ', '.join(sorted(DIALECT_BY_NAME))
-            found.append(f'dialect: {self.dialect!r} is none of {choices}')
+            found.append(f'dialect: {self.dialect!r} is not one of {choices}')
         return found
 
 
 def is_address(text: str) -> bool:
-    """Tell whether a text is an IP address with a port."""
+    """Return whether a text is an IP address with a port."""
     host, _, port = text.rpartition(':')
     try:
         ipaddress.ip_address(host)
--- a/plantaingrade/outcome.py
+++ b/plantaingrade/outcome.py
@@ -1,4 +1,4 @@
-"""Typed outcomes of requests."""
+"""Outcomes of requests."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class NotRunReason(StrEnum):
-    """Proof that a request was not run."""
+    """Why a request was certainly not run."""
 
     CONNECT_FAILED = 'connect-failed'
     NOT_OWNER = 'not-owner'
@@ -25,7 +25,7 @@
 
 
 class UnknownReason(StrEnum):
-    """Why nobody can tell whether a request was run."""
+    """Why it is unknown whether a request was run."""
 
     BROKEN = 'connection-broken'
     TIMEOUT = 'deadline-passed'
@@ -48,7 +48,7 @@
 
 
 class Answered(Struct, frozen=True):
-    """The backend server answered, and the answer went out whole."""
+    """The backend server answered, and the answer was sent completely."""
 
     status: int
     direct: bool
--- a/plantaingrade/zipped.py
+++ b/plantaingrade/zipped.py
@@ -1,8 +1,8 @@
-"""Run the one-file application, compiled modules and all.
+"""Run the zip application, including its compiled modules.
 
-A zip holds compiled modules, but Python imports none from it. Here each is
-read into memory that has a file's name, and imported by that name: nothing is
-unpacked, and no child process is started.
+Python cannot import compiled modules from a zip archive. Here each one is
+copied to a memory file and imported by the path of that file, so nothing is
+unpacked to disk and no child process is started.
 """
 
 import os
@@ -18,15 +18,15 @@
 
 
 class CompiledFinder(MetaPathFinder):
-    """Find the compiled modules of one archive."""
+    """Find the compiled modules of a zip archive."""
 
     def __init__(self, archive: str) -> None:
-        """Look into the archive once."""
+        """Index the compiled modules of the archive."""
         self._archive = archive
-        with ZipFile(archive) as opened:
-            names = opened.namelist()
+        with ZipFile(archive) as zip_file:
+            names = zip_file.namelist()
         self._entry_by_module = {
-            module_of(name): name for name in names if name.endswith(SUFFIX)
+            module_name(name): name for name in names if name.endswith(SUFFIX)
         }
 
     def find_spec(
@@ -35,35 +35,36 @@
         path: Sequence[str] | None,
         target: ModuleType | None = None,
     ) -> ModuleSpec | None:
-        """Return how to import a compiled module, if it is one of these."""
+        """Return the spec of a compiled module, or None for other modules."""
         entry = self._entry_by_module.get(fullname)
         if entry is None:
             return None
-        file_path = self._into_memory(entry)
+        file_path = self._copy_to_memory(entry)
         loader = ExtensionFileLoader(fullname, file_path)
         return spec_from_file_location(fullname, file_path, loader=loader)
 
-    def _into_memory(self, entry: str) -> str:
-        """Return the name of memory that holds a module.
+    def _copy_to_memory(self, entry: str) -> str:
+        """Copy a module to a memory file and return its path.
 
-        It stays open: the system's loader takes two libraries of one name for
-        the same, and names go by the numbers of open files.
+        The file stays open. Its path contains its descriptor, which could
+        otherwise be reused, and the dynamic loader treats two libraries of the
+        same path as one.
         """
-        memory = os.memfd_create(entry)
-        with ZipFile(self._archive) as opened:
-            os.write(memory, opened.read(entry))
-        return f'/proc/self/fd/{memory}'
+        descriptor = os.memfd_create(entry)
+        with ZipFile(self._archive) as zip_file:
+            os.write(descriptor, zip_file.read(entry))
+        return f'/proc/self/fd/{descriptor}'
 
 
-def module_of(entry: str) -> str:
-    """Return the module that an entry such as ``a/b.abi3.so`` is for."""
+def module_name(entry: str) -> str:
+    """Return the name of the module in an entry such as ``a/b.abi3.so``."""
     folder, _, name = entry.rpartition('/')
     stem = name.partition('.')[0]
     return '.'.join((*folder.split('/'), stem)) if folder else stem
 
 
 def main() -> None:
-    """Run the command line out of the archive that Python was started with."""
+    """Run the command line from the archive that Python was started with."""
     sys.meta_path.insert(0, CompiledFinder(sys.path[0]))
     from plantaingrade.cli import main as run_cli  # noqa: WPS433
 
--- a/tests/test_zipped.py
+++ b/tests/test_zipped.py
@@ -66,4 +66,4 @@
     ],
 )
 def test_modules_are_known_by_their_entries(entry, module) -> None:
-    assert zipped.module_of(entry) == module
+    assert zipped.module_name(entry) == module
