--- a/plantaingrade/datagrams.py
+++ b/plantaingrade/datagrams.py
@@ -12,7 +12,7 @@
 
 
 class TypedEndpoint(asyncio.DatagramProtocol):
-    """Send and on_message messages of one codec."""
+    """Send and receive messages of one codec."""
 
     __slots__ = (
         '_codec',
--- a/plantaingrade/node/run.py
+++ b/plantaingrade/node/run.py
@@ -24,7 +24,7 @@
             await _wait_for_any(stop, node.lease_lost)
             if stop.is_set():
                 await node.async_leave()
-                logging.info('Left the cluster')
+                logging.info('Left')
                 return
         await asyncio.sleep(REJOIN_PAUSE_S)
 
--- a/tests/cloud/__init__.py
+++ b/tests/cloud/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of platform."""
+"""Tests of the cloud package."""
--- a/tests/cloud/test_table.py
+++ b/tests/cloud/test_table.py
@@ -1,4 +1,4 @@
-"""The table service misbehaves, over real connections to its stand-in."""
+"""Faults of the table service and the object store, over real connections."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -27,14 +27,14 @@
 from tests.rig import listening_at
 
 SERVICES = (ServiceRow('casebook', 2, True, 400),)
-Story = Callable[['Bench'], Awaitable[None]]
+Scenario = Callable[['Harness'], Awaitable[None]]
 
 
-class Bench:
-    """Both stand-ins and clients to them."""
+class Harness:
+    """Stand-ins of both services, with connected clients."""
 
     def __init__(self) -> None:
-        """Build the stand-ins."""
+        """Create the stand-ins and their servers."""
         clock = BootClock()
         self.table = TableStandIn()
         self.store = ObjectStandIn()
@@ -44,7 +44,7 @@
             for standin in (self.table, self.store)
         ]
 
-    async def __aenter__(self) -> 'Bench':
+    async def __aenter__(self) -> 'Harness':
         """Listen, and connect the clients."""
         for server in self.servers:
             await server.async_listen('127.0.0.1', 0)
@@ -54,132 +54,132 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """Stop everything."""
+        """Close the connections and stop the stand-ins."""
         self.pool.close()
         for server in self.servers:
             await server.async_close()
 
     def journal(self, author: str) -> JournalCoordinator:
-        """Return a journal over the clients."""
+        """Return a journal that uses the clients."""
         return JournalCoordinator(self.client, self.store_client, author)
 
 
-def run(story: Story) -> None:
-    """Run a story against fresh stand-ins."""
+def run(scenario: Scenario) -> None:
+    """Run a scenario against new stand-ins."""
 
-    async def play() -> None:
-        async with Bench() as bench:
-            await story(bench)
+    async def run_scenario() -> None:
+        async with Harness() as harness:
+            await scenario(harness)
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
 def _row(body: str, version: int = 1) -> Row:
     return Row('p', 1, body, version)
 
 
-def test_conditions_hold() -> None:
-    """Of two writers of one row the second is told."""
+def test_conditional_writes() -> None:
+    """The second of two writers of a row must get a conflict."""
 
-    async def story(bench: Bench) -> None:
-        assert await bench.client.async_put_new(_row('a')) == Stored()
-        assert await bench.client.async_put_new(_row('b')) == Conflicted()
-        replaced = await bench.client.async_replace(_row('c', 2), 1)
+    async def scenario(harness: Harness) -> None:
+        assert await harness.client.async_put_new(_row('a')) == Stored()
+        assert await harness.client.async_put_new(_row('b')) == Conflicted()
+        replaced = await harness.client.async_replace(_row('c', 2), 1)
         assert replaced == Stored()
-        stale = await bench.client.async_replace(_row('d', 2), 1)
+        stale = await harness.client.async_replace(_row('d', 2), 1)
         assert stale == Conflicted()
-        assert await bench.client.async_get('p', 1) == _row('c', 2)
-        assert await bench.client.async_get('p', 2) is None
+        assert await harness.client.async_get('p', 1) == _row('c', 2)
+        assert await harness.client.async_get('p', 2) is None
 
-    run(story)
+    run(scenario)
 
 
-def test_lost_answer_is_an_unknown_write() -> None:
-    """The write takes effect, the answer does not come."""
+def test_lost_answer_gives_unknown_outcome() -> None:
+    """A write whose answer is lost must be reported as unknown."""
 
-    async def story(bench: Bench) -> None:
-        bench.table.faults.lose_answers = 1.0
+    async def scenario(harness: Harness) -> None:
+        harness.table.faults.lose_answers = 1.0
         with pytest.raises(PlatformOutcomeUnknownError):
-            await bench.client.async_put_new(_row('a'))
-        bench.table.faults.lose_answers = 0.0
-        assert await bench.client.async_get('p', 1) == _row('a')
+            await harness.client.async_put_new(_row('a'))
+        harness.table.faults.lose_answers = 0.0
+        assert await harness.client.async_get('p', 1) == _row('a')
 
-    run(story)
+    run(scenario)
 
 
 def test_throttled_write_did_nothing() -> None:
-    """The service is over its rate and refuses."""
+    """A request refused by throttling must be reported as not done."""
 
-    async def story(bench: Bench) -> None:
-        bench.table.faults.refuse_share = 1.0
+    async def scenario(harness: Harness) -> None:
+        harness.table.faults.refuse_share = 1.0
         with pytest.raises(PlatformUnavailableError):
-            await bench.client.async_put_new(_row('a'))
+            await harness.client.async_put_new(_row('a'))
         with pytest.raises(PlatformUnavailableError):
-            await bench.client.async_get('p', 1)
-        assert not bench.table.rows
+            await harness.client.async_get('p', 1)
+        assert not harness.table.rows
 
-    run(story)
+    run(scenario)
 
 
-def test_slow_service_is_not_waited_for() -> None:
-    """The service takes longer than a lease; the caller goes on without."""
+def test_slow_service_times_out() -> None:
+    """A service slower than a lease must not block the caller."""
 
-    async def story(bench: Bench) -> None:
-        bench.table.faults.slow_s = 3600
+    async def scenario(harness: Harness) -> None:
+        harness.table.faults.slow_s = 3600
         with pytest.raises(PlatformUnavailableError):
-            await bench.client.async_get('p', 1)
+            await harness.client.async_get('p', 1)
 
-    run(story)
+    run(scenario)
 
 
-def test_lost_answer_does_not_double_a_record() -> None:
-    """Journal and service together: the record is appended once."""
+def test_lost_answer_does_not_duplicate_a_record() -> None:
+    """A record must not be appended twice if the first answer is lost."""
 
-    async def story(bench: Bench) -> None:
-        journal = bench.journal('a')
+    async def scenario(harness: Harness) -> None:
+        journal = harness.journal('a')
         await journal.async_load()
-        bench.table.faults.lose_answers = 1.0
+        harness.table.faults.lose_answers = 1.0
         with pytest.raises(JournalUnavailableError):
             await journal.async_append(Declared('x', 0, SERVICES))
-        bench.table.faults.lose_answers = 0.0
+        harness.table.faults.lose_answers = 0.0
         await journal.async_append(Declared('x', 0, SERVICES))
         assert journal.state.declaration_generation == 1
         assert journal.state.declaration == 'x'
 
-    run(story)
+    run(scenario)
 
 
 def test_map_is_read_without_the_object_store() -> None:
-    """A process starts while the object store is down."""
+    """A process must be able to start while the object store is down."""
 
-    async def story(bench: Bench) -> None:
-        writer = bench.journal('a')
+    async def scenario(harness: Harness) -> None:
+        writer = harness.journal('a')
         for number in range(250):
             change = Declared(f'{number}', number, SERVICES)
             assert await writer.async_append(change) == [Applied()]
         await writer.async_snapshot()
-        assert bench.store.body_by_name
-        bench.store.faults.down = True
-        reader = bench.journal('b')
+        assert harness.store.body_by_name
+        harness.store.faults.down = True
+        reader = harness.journal('b')
         await reader.async_load()
         assert reader.state == writer.state
 
-    run(story)
+    run(scenario)
 
 
-def test_map_is_read_from_a_snapshot_and_what_follows() -> None:
-    """A process starts after many changes."""
+def test_map_is_read_from_a_snapshot_and_later_records() -> None:
+    """A start after many changes must take only a few reads."""
 
-    async def story(bench: Bench) -> None:
-        writer = bench.journal('a')
+    async def scenario(harness: Harness) -> None:
+        writer = harness.journal('a')
         for number in range(220):
             await writer.async_append(Declared(f'{number}', number, SERVICES))
         await writer.async_snapshot()
         await writer.async_append(Declared('last', 220, SERVICES))
-        before = bench.table.reads
-        reader = bench.journal('b')
+        before = harness.table.reads
+        reader = harness.journal('b')
         await reader.async_load()
         assert reader.state == writer.state
-        assert bench.table.reads - before <= 3
+        assert harness.table.reads - before <= 3
 
-    run(story)
+    run(scenario)
--- a/tests/node/__init__.py
+++ b/tests/node/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of node."""
+"""Tests of the node package."""
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -1,4 +1,4 @@
-"""Whole processes in one loop: join, serve, command, leave."""
+"""Complete nodes in one event loop: join, serve, command and leave."""
 
 import asyncio
 import json
@@ -21,17 +21,17 @@
 
 
 def free_address(kind: socket.SocketKind = socket.SOCK_STREAM) -> str:
-    """Return an address that nobody uses at the moment."""
+    """Return an address with a port that is free at the moment."""
     with socket.socket(socket.AF_INET, kind) as probe:
         probe.bind((HOST, 0))
         return f'{HOST}:{probe.getsockname()[1]}'
 
 
-class Fleet:
-    """Three nodes with their stand-ins, all in one loop."""
+class NodeCluster:
+    """Three nodes with stand-ins of their servers and of the platform."""
 
     def __init__(self, folder: Path) -> None:
-        """Build the stand-ins."""
+        """Prepare an empty cluster."""
         self.clock = BootClock()
         self.pool = Pool(self.clock)
         self.folder = folder
@@ -40,7 +40,7 @@
         self.nodes: list[Node] = []
         self.addresses: list[str] = []
 
-    async def __aenter__(self) -> 'Fleet':
+    async def __aenter__(self) -> 'NodeCluster':
         """Start the stand-ins and the nodes, and declare the service."""
         table = await self._serve(self.table.async_handle)
         store = await self._serve(ObjectStandIn().async_handle)
@@ -59,7 +59,7 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """Stop everything."""
+        """Stop the nodes and the stand-ins."""
         for node in self.nodes:
             await node.async_unload()
         self.pool.close()
@@ -145,71 +145,77 @@
         )
 
 
-def test_fleet_serves_commands_and_leaves(tmp_path: Path) -> None:
-    """From joining to leaving: every entry serves every key.
+def test_cluster_serves_commands_and_leaves(tmp_path: Path) -> None:
+    """Every node must serve every key while members join and leave.
 
-    A command moves a key, sent twice takes effect once; a node leaves, and
-    its keys are served by the others; the table service is down meanwhile.
+    A command to move a key is sent twice and must run once. Then a node leaves
+    while the table service is down, and the others must serve its keys.
     """
 
-    async def story() -> None:
-        async with Fleet(tmp_path) as fleet:
+    async def scenario() -> None:
+        async with NodeCluster(tmp_path) as cluster:
             for number in range(SIZE):
-                reply = await fleet.send('POST', number, '/casebook/4711', b'x')
+                reply = await cluster.send(
+                    'POST', number, '/casebook/4711', b'x'
+                )
                 assert reply.headers[b'x-outcome'] == b'answered'
                 assert json.loads(reply.body)['key'] == '4711'
-            await _move_twice(fleet)
-            fleet.table.faults.down = True
-            await fleet.nodes[0].async_leave()
+            await _send_move_twice(cluster)
+            cluster.table.faults.down = True
+            await cluster.nodes[0].async_leave()
             for number in (1, 2):
                 for key in range(8):
-                    reply = await fleet.send('POST', number, f'/casebook/{key}')
+                    reply = await cluster.send(
+                        'POST', number, f'/casebook/{key}'
+                    )
                     assert reply.headers[b'x-outcome'] == b'answered'
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-async def _move_twice(fleet: Fleet) -> None:
-    served = await fleet.send('GET', 0, '/casebook/4711')
+async def _send_move_twice(cluster: NodeCluster) -> None:
+    served = await cluster.send('GET', 0, '/casebook/4711')
     owner = json.loads(served.body)['server']
-    goal = 's2' if owner == 's1' else 's1'
-    text = f'move key 4711 in casebook to {goal}'.encode()
+    target_server = 's2' if owner == 's1' else 's1'
+    text = f'move key 4711 in casebook to {target_server}'.encode()
     path = '/-/statement'
-    first = await fleet.send('POST', 0, path, text, x_command_id='c1')
-    again = await fleet.send('POST', 2, path, text, x_command_id='c1')
+    first = await cluster.send('POST', 0, path, text, x_command_id='c1')
+    again = await cluster.send('POST', 2, path, text, x_command_id='c1')
     assert json.loads(first.body)['outcome'] == 'accepted'
     assert json.loads(again.body)['outcome'] == 'alreadydone'
-    while owner != goal:
-        reply = await fleet.send('GET', 0, '/casebook/4711')
+    while owner != target_server:
+        reply = await cluster.send('GET', 0, '/casebook/4711')
         if reply.status == 200:
             owner = json.loads(reply.body)['server']
 
 
-def test_control_paths_answer_bad_input(tmp_path: Path) -> None:
-    """Operators mistype; each mistake is explained, the process lives on."""
+def test_control_endpoints_reject_invalid_input(tmp_path: Path) -> None:
+    """Invalid requests must be explained and must not stop the node."""
 
-    async def story() -> None:
-        async with Fleet(tmp_path) as fleet:
+    async def scenario() -> None:
+        async with NodeCluster(tmp_path) as cluster:
             path = '/-/statement'
-            wrong = await fleet.send('POST', 0, path, b'drop everything')
-            assert (wrong.status, b'Not understood' in wrong.body) == (
+            misspelt = await cluster.send('POST', 0, path, b'drop everything')
+            assert (misspelt.status, b'Not understood' in misspelt.body) == (
                 400,
                 True,
             )
-            unnamed = await fleet.send('POST', 0, path, b'drain s1')
-            assert unnamed.status == 400
-            document = await fleet.send(
+            without_id = await cluster.send('POST', 0, path, b'drain s1')
+            assert without_id.status == 400
+            document = await cluster.send(
                 'POST', 0, '/-/declaration', b'services: ['
             )
             assert document.status == 400
-            assert (await fleet.send('GET', 0, '/-/nothing')).status == 404
-            assert (await fleet.send('GET', 0, '/-/routes/none')).status == 404
-            routes = await fleet.send('GET', 0, '/-/routes/casebook')
+            assert (await cluster.send('GET', 0, '/-/nothing')).status == 404
+            assert (
+                await cluster.send('GET', 0, '/-/routes/none')
+            ).status == 404
+            routes = await cluster.send('GET', 0, '/-/routes/casebook')
             assert len(json.loads(routes.body)['routes']) == 4
-            status = await fleet.send('GET', 0, '/-/status')
+            status = await cluster.send('GET', 0, '/-/status')
             assert json.loads(status.body)['state'] == 'ready'
-            await fleet.send('GET', 0, '/casebook/1')
-            metrics = await fleet.send('GET', 0, '/-/metrics')
+            await cluster.send('GET', 0, '/casebook/1')
+            metrics = await cluster.send('GET', 0, '/-/metrics')
             assert b'plantaingrade.request.duration' in metrics.body
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/node/test_settings.py
+++ b/tests/node/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: every mistake is named."""
+"""Settings: every invalid setting is reported."""
 
 import pytest
 from click.testing import CliRunner
@@ -6,7 +6,7 @@
 from plantaingrade.cli import main
 from plantaingrade.node.settings import Settings, SettingsError
 
-GOOD = {
+VALID = {
     'server': 'casebook-1',
     'service': 'casebook',
     'zone': 'lx-oriente',
@@ -22,9 +22,9 @@
 }
 
 
-def test_good_settings() -> None:
-    """Settings that fit are taken."""
-    assert Settings.from_flags(**GOOD).slots == 6
+def test_valid_settings() -> None:
+    """Valid settings must be accepted."""
+    assert Settings.from_flags(**VALID).slots == 6
 
 
 @pytest.mark.parametrize(
@@ -41,36 +41,36 @@
         ('advertise_http', 'nowhere'),
     ],
 )
-def test_mistake_is_named(name: str, wrong: object) -> None:
-    """An operator mistypes one setting."""
+def test_invalid_setting_is_named(name: str, wrong: object) -> None:
+    """An invalid setting must be reported by its name."""
     with pytest.raises(SettingsError, match=name):
-        Settings.from_flags(**{**GOOD, name: wrong})
+        Settings.from_flags(**{**VALID, name: wrong})
 
 
-def test_all_mistakes_are_named_at_once() -> None:
-    """No restart for each mistake."""
-    with pytest.raises(SettingsError) as refused:
-        Settings.from_flags(**{**GOOD, 'http': 'x', 'slots': -1})
-    assert len(refused.value.mistakes) == 2
+def test_all_mistakes_are_reported_at_once() -> None:
+    """An operator must not need one start for each mistake."""
+    with pytest.raises(SettingsError) as caught:
+        Settings.from_flags(**{**VALID, 'http': 'x', 'slots': -1})
+    assert len(caught.value.mistakes) == 2
 
 
-def test_command_line_names_the_mistake() -> None:
-    """The same from the command line; nothing starts."""
+def test_command_line_names_the_invalid_flag() -> None:
+    """An invalid flag must be reported, and nothing may start."""
     flags = [
         '--checks-fence' if name == 'checks_fence' else f'--{name}={text}'
-        for name, text in {**GOOD, 'dialect': 'latin'}.items()
+        for name, text in {**VALID, 'dialect': 'latin'}.items()
     ]
     outcome = CliRunner().invoke(main, ['run', *flags])
     assert outcome.exit_code == 2
     assert 'dialect' in outcome.output
 
 
-def test_settings_come_from_the_environment() -> None:
-    """A setting may stand in an environment variable."""
-    names = {
+def test_settings_are_read_from_the_environment() -> None:
+    """Settings must be read from environment variables too."""
+    variables = {
         f'PLANTAINGRADE_RUN_{name.upper()}': str(text)
-        for name, text in {**GOOD, 'slots': 0}.items()
+        for name, text in {**VALID, 'slots': 0}.items()
     }
-    outcome = CliRunner(env=names).invoke(main, ['run'])
+    outcome = CliRunner(env=variables).invoke(main, ['run'])
     assert outcome.exit_code == 2
     assert 'slots' in outcome.output
--- a/tests/operators/test_declarations.py
+++ b/tests/operators/test_declarations.py
@@ -21,7 +21,7 @@
 
 
 def test_valid_document() -> None:
-    """A valid document is rejected, or defaults and fields are misread."""
+    """Fields and defaults of a valid document must be read correctly."""
     casebook, referrals = read_declaration(VALID)
     assert (casebook.slices, casebook.keyed) == (28, True)
     assert casebook.weight_unavailable == 3
@@ -47,14 +47,14 @@
     ],
 )
 def test_mistake_is_reported_with_its_line(text: str, line: int) -> None:
-    """A mistake is accepted or reported for another line."""
+    """A mistyped field must be reported with its line."""
     with pytest.raises(DeclarationError) as caught:
         read_declaration(text)
     assert line in {mistake.line for mistake in caught.value.mistakes}
 
 
 def test_all_mistakes_are_reported_at_once() -> None:
-    """Only the first mistake is reported, so each costs a round trip."""
+    """An operator must not need one attempt for each mistake."""
     text = 'services:\n  a:\n    slices: x\n    keyed: y\n    tenants: 1\n'
     with pytest.raises(DeclarationError) as caught:
         read_declaration(text)
@@ -62,7 +62,7 @@
 
 
 def test_plan_shows_differences() -> None:
-    """The plan hides a change or shows one where nothing changes."""
+    """The plan must list exactly the settings that would change."""
     wanted = VALID.replace(
         'slices: 28', 'slices: 28\n    unfenced_grace_ms: 100'
     )
--- a/tests/operators/test_language.py
+++ b/tests/operators/test_language.py
@@ -49,7 +49,7 @@
     ],
 )
 def test_statements(text: str, statement: Statement) -> None:
-    """A statement of the grammar is parsed into the wrong command."""
+    """Each form of the grammar must give the right statement."""
     assert parse_statement(text) == statement
 
 
@@ -58,7 +58,7 @@
     ['', 'drain', 'drop everything', 'move slice x of a to b', 'owner of in x'],
 )
 def test_syntax_error_is_reported(text: str) -> None:
-    """A mistyped statement runs as a command or raises another error."""
+    """A mistyped statement must be rejected with an explanation."""
     with pytest.raises(StatementError, match='Not understood'):
         parse_statement(text)
 
@@ -77,14 +77,14 @@
 
 
 def test_command_sent_twice_runs_once() -> None:
-    """The answer to a command is lost; the resent command runs twice."""
+    """A command resent after its answer was lost must not run again."""
     operators = _operators(FakeTable())
     assert isinstance(_send(operators, 'drain a', 'c1'), Accepted)
     assert isinstance(_send(operators, 'drain a', 'c1'), AlreadyDone)
 
 
 def test_conflicting_command_reports_the_winner() -> None:
-    """Two operators command one server at two processes, both succeed."""
+    """Of two operators at two processes only one may succeed."""
     table = FakeTable()
     first, second = _operators(table), _operators(table)
     assert isinstance(_send(first, 'drain a', 'c1'), Accepted)
@@ -92,7 +92,7 @@
 
 
 def test_command_during_an_outage_can_be_retried() -> None:
-    """The table service is down; the command is refused or lost for good."""
+    """The answer in an outage must allow a retry with the same id."""
     table = FakeTable()
     operators = _operators(table)
     table.down = True
@@ -104,13 +104,13 @@
 
 
 def test_command_for_unknown_server_is_refused() -> None:
-    """A command for an unknown server is accepted."""
+    """A command for an unknown server must not be accepted."""
     outcome = _send(_operators(FakeTable()), 'drain nobody', 'c1')
     assert isinstance(outcome, Refused)
 
 
 def test_moved_key_gets_its_own_slice() -> None:
-    """Moving one hot key moves the whole slice or nothing."""
+    """A hot key must be movable apart from the rest of its slice."""
     operators = _operators(FakeTable())
     outcome = _send(operators, 'move key 4711 in casebook to c', 'c1')
     assert isinstance(outcome, Accepted)
@@ -120,14 +120,14 @@
 
 
 def test_retired_server_cannot_be_resumed() -> None:
-    """A resume brings a retired server back into service."""
+    """A resume must not bring a retired server back into service."""
     operators = _operators(FakeTable())
     _send(operators, 'retire a', 'c1')
     assert isinstance(_send(operators, 'resume a', 'c2'), Refused)
 
 
 def test_owner_query_returns_owner_and_successor() -> None:
-    """The answer names the wrong owner or successor of a key."""
+    """The answer must name the owner, its state and the successor."""
     answer = explain_owner(make_state(), 'casebook', '4711')
     assert answer['owner']['member'] == 'a'
     assert answer['owner']['state'] == MemberState.READY
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -1,4 +1,4 @@
-"""No decision reads the time of day."""
+"""No module reads the time of day."""
 
 import ast
 from pathlib import Path
@@ -9,8 +9,8 @@
 
 PACKAGE = Path(plantaingrade.__file__).parent
 SOURCES = sorted(PACKAGE.rglob('*.py'))
-READER = PACKAGE / 'clock.py'
-READINGS = {
+CLOCK_MODULE = PACKAGE / 'clock.py'
+CLOCK_FUNCTIONS = {
     'time',
     'time_ns',
     'monotonic',
@@ -23,18 +23,18 @@
 }
 
 
-def readings(source: Path) -> set[str]:
-    """Return the clocks that a module reads by the library's ``time``."""
+def clocks_read(source: Path) -> set[str]:
+    """Return the functions of ``time`` by which a module reads a clock."""
     attributes = (
         node
         for node in ast.walk(ast.parse(source.read_text()))
         if isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name)
     )
     found = {each.attr for each in attributes if each.value.id == 'time'}
-    return found & READINGS
+    return found & CLOCK_FUNCTIONS
 
 
-def imported(source: Path) -> set[str]:
+def imported_modules(source: Path) -> set[str]:
     """Return the modules that a module imports."""
     found = set()
     for node in ast.walk(ast.parse(source.read_text())):
@@ -50,13 +50,13 @@
     'source', SOURCES, ids=lambda path: str(path.relative_to(PACKAGE))
 )
 def test_only_the_boot_clock_is_read(source: Path) -> None:
-    """The time of day jumps by seconds and back.
+    """The time of day may jump by seconds in both directions.
 
-    A lease, a hold or a deadline that is counted by it ends at once or goes
-    on for as long as the jump. Nothing reads it, by any module.
+    A lease, a hold or a deadline measured by it would end early, or late by the
+    size of the jump.
     """
-    assert 'datetime' not in imported(source)
-    if source == READER:
-        assert readings(source) == {'clock_gettime'}
+    assert 'datetime' not in imported_modules(source)
+    if source == CLOCK_MODULE:
+        assert clocks_read(source) == {'clock_gettime'}
     else:
-        assert not readings(source)
+        assert not clocks_read(source)
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -10,8 +10,8 @@
 )
 
 
-class SetClock:
-    """Clock that the test sets."""
+class ManualClock:
+    """Clock whose time the test sets."""
 
     def __init__(self) -> None:
         """Start at zero."""
@@ -22,10 +22,10 @@
         return self.at
 
 
-def make_log() -> tuple[EventLog, SetClock, int]:
+def make_log() -> tuple[EventLog, ManualClock, int]:
     read_end, write_end = os.pipe()
     os.set_blocking(read_end, False)
-    clock = SetClock()
+    clock = ManualClock()
     return EventLog('n1', clock, write_end), clock, read_end
 
 
@@ -40,7 +40,7 @@
     return [json.loads(line) for line in text.splitlines()]
 
 
-def test_a_line_holds_what_is_needed_to_explain_it() -> None:
+def test_line_has_time_node_event_and_fields() -> None:
     log, clock, read_end = make_log()
     clock.at = 1.5
     log.write('request', id='r1', kind='2i', why=None)
@@ -56,7 +56,7 @@
     ]
 
 
-def test_a_flood_of_one_kind_hides_no_other_and_is_counted() -> None:
+def test_flood_of_one_kind_is_limited_and_counted() -> None:
     log, clock, read_end = make_log()
     for number in range(LINES_PER_KIND * 3):
         log.write('request', number=number)
@@ -73,11 +73,11 @@
     assert dropped['by_kind'] == {'request': LINES_PER_KIND * 2}
 
 
-def test_a_reader_that_stops_reading_delays_nobody() -> None:
-    """Nobody reads standard output any more, and its pipe is full.
+def test_stopped_reader_does_not_block_writing() -> None:
+    """The reader of standard output stops, and its pipe is full.
 
-    Writing goes on at once, keeps a bounded number of bytes, and what was
-    kept comes out whole when the reader is back.
+    Writing must not block and must buffer a bounded number of bytes. Buffered
+    lines must be written completely when the reader resumes.
     """
     log, clock, read_end = make_log()
     filler = 'x' * 1000
@@ -98,14 +98,14 @@
     assert numbers == sorted(numbers)
 
 
-def test_a_closed_reader_is_no_error() -> None:
+def test_closed_reader_is_not_an_error() -> None:
     log, _, read_end = make_log()
     os.close(read_end)
     log.write('request', id='r1')
     log.write('request', id='r2')
 
 
-def test_every_event_is_counted_also_those_dropped() -> None:
+def test_callback_receives_dropped_events_too() -> None:
     log, _, _ = make_log()
     counted: list[str] = []
     log.set_event_callback(counted.append)
--- a/tests/test_zipped.py
+++ b/tests/test_zipped.py
@@ -1,4 +1,4 @@
-"""Compiled modules inside a zip application."""
+"""Import of compiled modules from a zip application."""
 
 import subprocess
 import sys
@@ -20,10 +20,10 @@
 """
 
 
-def test_compiled_modules_are_imported_out_of_one_file(tmp_path) -> None:
-    """The application is one file that unpacks nothing and has no child.
+def test_compiled_modules_are_imported_from_the_archive(tmp_path) -> None:
+    """A zip application must find its compiled modules without unpacking.
 
-    With a compiled library among its needs it found no module of that name.
+    The import system of Python does not find compiled modules in an archive.
     """
     folder = tmp_path / 'app'
     copy_into(folder / 'httptools', Path(httptools.__file__).parent)
@@ -49,7 +49,7 @@
 
 
 def copy_into(folder: Path, source: Path) -> None:
-    """Copy a library's modules, compiled ones among them."""
+    """Copy the modules of a library, including compiled ones."""
     for path in source.rglob('*'):
         if path.suffix in {'.py', '.so'}:
             target = folder / path.relative_to(source)
@@ -65,5 +65,5 @@
         ('alone.so', 'alone'),
     ],
 )
-def test_modules_are_known_by_their_entries(entry, module) -> None:
+def test_module_name_of_archive_entry(entry, module) -> None:
     assert zipped.module_name(entry) == module
