--- a/tests/holds/test_store_restore.py
+++ b/tests/holds/test_store_restore.py
@@ -309,7 +309,7 @@
         cluster.kill(restarted)
         cluster.rows.restore(snapshot)
         for member in (holder, restarted):
-            member.store.epochs.note(cluster.rows.epoch)
+            member.store.epochs.record(cluster.rows.epoch)
         holder.holds.registry.advance_epoch()
         outcomes = [
             await holder.holds.registry.async_commit(
