--- a/plantaingrade/http/channel.py
+++ b/plantaingrade/http/channel.py
@@ -59,7 +59,7 @@
         '_writable',
         'closed',
         'http',
-        'last_answer',
+        'is_last_response',
         'last_byte_at',
         'on_end',
         'transport',
@@ -70,7 +70,7 @@
         self.http = Connection(role, MAX_HEAD_BYTES)
         self.transport: Any = None
         self.closed = False
-        self.last_answer = False
+        self.is_last_response = False
         self._broken = False
         self._clock = clock
         self.last_byte_at = clock.now()
@@ -163,7 +163,7 @@
         """
         if self.closed or self.transport.is_closing():
             raise ChannelClosedError('Connection closed by the peer.')
-        if self.last_answer and isinstance(event, Response):
+        if self.is_last_response and isinstance(event, Response):
             event = replace(event, headers=(*event.headers, CLOSE_HEADER))
         raw = self.http.send(event)
         if raw:
--- a/plantaingrade/http/client.py
+++ b/plantaingrade/http/client.py
@@ -39,7 +39,7 @@
     except BaseException:
         channel.abort()
         raise
-    pool.give_back(call.address, channel)
+    pool.release(call.address, channel)
     return reply
 
 
--- a/plantaingrade/http/exchange.py
+++ b/plantaingrade/http/exchange.py
@@ -42,7 +42,7 @@
     channel.send(EndOfMessage())
 
 
-async def read_answer(
+async def read_response(
     channel: Channel,
     accept: Accept,
     max_skipped: int = 0,
--- a/plantaingrade/http/pool.py
+++ b/plantaingrade/http/pool.py
@@ -9,7 +9,7 @@
 from plantaingrade.http.channel import Channel
 from plantaingrade.http.const import (
     CONNECT_TIMEOUT_S,
-    IDLE_TRUSTED_S,
+    MAX_IDLE_S,
     MAX_IDLE_PER_ADDRESS,
 )
 from plantaingrade.http.messages import Role
@@ -34,9 +34,9 @@
         '_clock',
         '_connect_timeout_s',
         '_idle_by_address',
-        '_is_probed',
+        '_tcp_keepalive',
         '_local_host',
-        '_trusted_s',
+        '_max_idle_s',
         'opened',
     )
 
@@ -45,18 +45,18 @@
         clock: Clock,
         local_host: str | None = None,
         *,
-        is_probed: bool = False,
+        tcp_keepalive: bool = False,
         connect_timeout_s: float = CONNECT_TIMEOUT_S,
-        trusted_s: float = IDLE_TRUSTED_S,
+        max_idle_s: float = MAX_IDLE_S,
     ) -> None:
         """Prepare a pool whose connections start from one local address.
 
         Connections that are probed end by themselves when the other end has
-        been silent to probes. One that idled for longer than ``trusted_s`` is
+        been silent to probes. One that idled for longer than ``max_idle_s`` is
         not used again.
         """
-        self._trusted_s = trusted_s
-        self._is_probed = is_probed
+        self._max_idle_s = max_idle_s
+        self._tcp_keepalive = tcp_keepalive
         self._connect_timeout_s = connect_timeout_s
         self._clock = clock
         self._local_host = local_host
@@ -79,7 +79,7 @@
     def close(self) -> None:
         """Close every idle connection."""
         for address in list(self._idle_by_address):
-            self.forget(address)
+            self.close_idle(address)
 
     async def acquire(
         self,
@@ -99,7 +99,7 @@
             ConnectFailedError: no connection could be made.
         """
         idle = self._idle_by_address[address]
-        oldest = self._trusted_s if max_idle_s is None else max_idle_s
+        oldest = self._max_idle_s if max_idle_s is None else max_idle_s
         while idle:
             channel = idle.pop()
             age = self._clock.now() - channel.last_byte_at
@@ -108,7 +108,7 @@
             channel.close()
         return await self.connect(address)
 
-    def give_back(self, address: str, channel: Channel) -> None:
+    def release(self, address: str, channel: Channel) -> None:
         """Keep a connection whose request and answer are both complete."""
         idle = self._idle_by_address[address]
         if len(idle) < MAX_IDLE_PER_ADDRESS and channel.renew():
@@ -116,7 +116,7 @@
         else:
             channel.close()
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to an address."""
         for channel in self._idle_by_address.pop(address, ()):
             channel.close()
@@ -141,6 +141,6 @@
         except (OSError, TimeoutError) as error:
             raise ConnectFailedError(f'No connection to {address}.') from error
         self.opened += 1
-        if self._is_probed:
+        if self._tcp_keepalive:
             channel.probe()
         return channel
--- a/plantaingrade/http/reader.py
+++ b/plantaingrade/http/reader.py
@@ -17,7 +17,11 @@
     HttpResponseParser,
 )
 
-from plantaingrade.http.const import BODILESS, STATUS_OK, STATUS_TOO_LARGE
+from plantaingrade.http.const import (
+    BODILESS_STATUSES,
+    STATUS_OK,
+    STATUS_TOO_LARGE,
+)
 from plantaingrade.http.messages import (
     Data,
     EndOfMessage,
@@ -268,6 +272,6 @@
             self._in_message = False
             self._is_over = True
             self.keeps_alive = False
-        elif not has_length and status not in BODILESS:
+        elif not has_length and status not in BODILESS_STATUSES:
             self._end_is_close = True
             self.keeps_alive = False
--- a/plantaingrade/http/server.py
+++ b/plantaingrade/http/server.py
@@ -16,7 +16,7 @@
     State,
 )
 
-RequestServer = Callable[[Request, Channel], Awaitable[None]]
+RequestHandler = Callable[[Request, Channel], Awaitable[None]]
 Refuser = Callable[[Channel, RemoteProtocolError], None]
 # The standard library's logger in place of absl's: a start is spared 10 ms of
 # processor time of one core, and lines here tell of faults of the program only.
@@ -27,7 +27,7 @@
     """Listen on one address until closed."""
 
     __slots__ = (
-        '_busy',
+        '_active_requests',
         '_channels',
         '_clock',
         '_serve_request',
@@ -41,7 +41,7 @@
     def __init__(
         self,
         clock: Clock,
-        serve: RequestServer,
+        serve: RequestHandler,
         refuse: Refuser,
         idle_s: float = CALLER_IDLE_S,
     ) -> None:
@@ -56,7 +56,7 @@
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._channels: set[Channel] = set()
-        self._busy = 0
+        self._active_requests = 0
         self.leaving = False
 
     async def async_listen(self, host: str, port: int) -> None:
@@ -65,9 +65,9 @@
         self._server = await loop.create_server(self._accept, host, port)
 
     @property
-    def busy(self) -> int:
+    def active_requests(self) -> int:
         """Return how many requests are being served."""
-        return self._busy
+        return self._active_requests
 
     @property
     def connections(self) -> int:
@@ -129,12 +129,12 @@
         if not isinstance(event, Request):
             return False
         channel.watch(asyncio.current_task())
-        channel.last_answer = self.leaving
-        self._busy += 1
+        channel.is_last_response = self.leaving
+        self._active_requests += 1
         try:
             await self._serve_request(event, channel)
         finally:
-            self._busy -= 1
+            self._active_requests -= 1
             channel.watch(None)
         await self._skip_body(channel)
         done = channel.http.our_state is State.DONE
--- a/plantaingrade/http/session.py
+++ b/plantaingrade/http/session.py
@@ -111,7 +111,7 @@
         try:
             await self._async_have_another()
         except BaseException:
-            self.give_back(channel)
+            self.release(channel)
             raise
         return channel
 
@@ -126,7 +126,7 @@
         self._admit(step)
         return reply
 
-    def give_back(self, channel: Channel) -> None:
+    def release(self, channel: Channel) -> None:
         """Keep a connection for the next request, or leave it behind."""
         if not self._is_closed and channel.renew():
             self._set_free(channel)
@@ -235,7 +235,7 @@
             return
         if error is not None:
             channel.abort()
-        self._session.give_back(channel)
+        self._session.release(channel)
 
     def drop(self) -> None:
         """Break the connection off: a late answer would meet the next one."""
--- a/plantaingrade/http/writer.py
+++ b/plantaingrade/http/writer.py
@@ -1,6 +1,6 @@
 """Write HTTP/1.1 messages as bytes."""
 
-from plantaingrade.http.const import BODILESS
+from plantaingrade.http.const import BODILESS_STATUSES
 from plantaingrade.http.messages import (
     Data,
     InformationalResponse,
@@ -126,7 +126,7 @@
         return (*headers, CLOSE_HEADER)
 
     def _has_no_body(self, status: int) -> bool:
-        return status in BODILESS or self._has_head_answer()
+        return status in BODILESS_STATUSES or self._has_head_answer()
 
     def _has_head_answer(self) -> bool:
         return self._method == b'HEAD'
--- a/plantaingrade/node/runtime.py
+++ b/plantaingrade/node/runtime.py
@@ -132,7 +132,7 @@
         """
         if elapsed_s > LEAVE_LIMIT_S:
             return True
-        busy = not self.parts.is_empty() or self._server.busy
+        busy = not self.parts.is_empty() or self._server.active_requests
         return elapsed_s > LEAVE_LINGER_S and not busy
 
     async def _load(self) -> None:
--- a/plantaingrade/requests/peer_path.py
+++ b/plantaingrade/requests/peer_path.py
@@ -9,7 +9,7 @@
 from plantaingrade.clock import Clock
 from plantaingrade.eventlog import EventLog
 from plantaingrade.http.channel import ChannelClosedError
-from plantaingrade.http.exchange import read_answer, send_request
+from plantaingrade.http.exchange import read_response, send_request
 from plantaingrade.http.pool import ConnectFailedError, Pool
 from plantaingrade.peers.directory import Directory
 from plantaingrade.peers.entity import Member
@@ -102,7 +102,7 @@
             channel.abort()
             return NotRun(NotRunReason.PEER_DOWN, DEFAULT_RETRY_AFTER_S)
         try:
-            whole = await read_answer(channel, lambda _: True)
+            whole = await read_response(channel, lambda _: True)
         except ChannelClosedError:
             channel.abort()
             self._note_unreachable(member, 'connection broken')
@@ -110,7 +110,7 @@
         except BaseException:
             channel.abort()
             raise
-        self._pool.give_back(member.address, channel)
+        self._pool.release(member.address, channel)
         if self._directory.trust(member.name):
             self._log.write('member-regained', member=member.name)
         headers = whole.head.headers
@@ -126,6 +126,6 @@
 
         What lies between may have forgotten all connections that were kept.
         """
-        self._pool.forget(member.address)
+        self._pool.close_idle(member.address)
         if self._directory.on_unreachable(member.name, self._clock.now()):
             self._log.write('member-unreachable', member=member.name, why=why)
--- a/plantaingrade/requests/server_path.py
+++ b/plantaingrade/requests/server_path.py
@@ -15,7 +15,7 @@
 from plantaingrade.holds.coordinator import HoldCoordinator
 from plantaingrade.http.channel import Channel, ChannelClosedError
 from plantaingrade.http.exchange import (
-    read_answer,
+    read_response,
     send_request,
 )
 from plantaingrade.http.messages import Response
@@ -146,7 +146,7 @@
 
         Nobody has closed them, and work sent on one of them may be lost.
         """
-        self._pool.forget(self._wire.address)
+        self._pool.close_idle(self._wire.address)
         self._note_down()
 
     def suspect(self, digests: tuple[str, ...]) -> None:
@@ -312,7 +312,7 @@
         except TimeoutError:
             # A server answers at the deadline at the latest, so what lies
             # between may have forgotten the connections that are kept.
-            self._pool.forget(self._wire.address)
+            self._pool.close_idle(self._wire.address)
             outcome = Unknown(UnknownReason.TIMEOUT)
         now = self._clock.now()
         self._failures.observe(self._life.instance, outcome, now)
@@ -382,7 +382,7 @@
             return not reply.request_id or reply.request_id == wanted
 
         try:
-            whole = await read_answer(channel, is_own, MAX_SKIPPED_ANSWERS)
+            whole = await read_response(channel, is_own, MAX_SKIPPED_ANSWERS)
         except ChannelClosedError:
             channel.abort()
             return Unknown(UnknownReason.BROKEN)
@@ -396,7 +396,7 @@
         if reply.closes:
             channel.close()
         else:
-            self._pool.give_back(self._wire.address, channel)
+            self._pool.release(self._wire.address, channel)
         return self._judge(reply, whole.body)
 
     def _judge(self, reply: ServerReply, body: bytes) -> Outcome:
--- a/plantaingrade/routing/attempt.py
+++ b/plantaingrade/routing/attempt.py
@@ -88,7 +88,7 @@
         would swallow a request of its own.
         """
         self._metrics.on_event('silent connection')
-        self.pool.forget(address)
+        self.pool.close_idle(address)
 
 
 async def attempt(
--- a/plantaingrade/routing/relay.py
+++ b/plantaingrade/routing/relay.py
@@ -36,7 +36,7 @@
         caller.abort()
         head.channel.abort()
         raise
-    pool.give_back(head.address, head.channel)
+    pool.release(head.address, head.channel)
 
 
 async def _relay_body(upstream: Channel, caller: Channel) -> None:
@@ -59,4 +59,4 @@
     except ChannelClosedError:
         head.channel.abort()
         return
-    pool.give_back(head.address, head.channel)
+    pool.release(head.address, head.channel)
--- a/plantaingrade/sidecar/fronts.py
+++ b/plantaingrade/sidecar/fronts.py
@@ -9,7 +9,7 @@
 from plantaingrade.eventlog import EventLog
 from plantaingrade.http.channel import Channel
 from plantaingrade.http.client import read_body
-from plantaingrade.http.const import BODILESS
+from plantaingrade.http.const import BODILESS_STATUSES
 from plantaingrade.http.messages import (
     Data,
     EndOfMessage,
@@ -68,7 +68,7 @@
 def send_answer(channel: Channel, answer: Answer) -> None:
     """Send a whole answer."""
     headers = list(answer.headers)
-    if answer.status not in BODILESS:
+    if answer.status not in BODILESS_STATUSES:
         headers.append((b'content-length', str(len(answer.body)).encode()))
     channel.send(Response(status_code=answer.status, headers=headers))
     if answer.body:
--- a/plantaingrade/sidecar/pools.py
+++ b/plantaingrade/sidecar/pools.py
@@ -18,11 +18,11 @@
         self.peers = Pool(
             clock,
             source,
-            is_probed=True,
+            tcp_keepalive=True,
             connect_timeout_s=NEAR_CONNECT_TIMEOUT_S,
-            trusted_s=PEER_TRUSTED_S,
+            max_idle_s=PEER_TRUSTED_S,
         )
-        self.store = Pool(clock, is_probed=True)
+        self.store = Pool(clock, tcp_keepalive=True)
         self.orders = Pool(clock)
 
     def close(self) -> None:
--- a/plantaingrade/sidecar/process.py
+++ b/plantaingrade/sidecar/process.py
@@ -18,7 +18,7 @@
 from plantaingrade.eventlog import EventLog
 from plantaingrade.holds.coordinator import HoldCoordinator, MemberLinks
 from plantaingrade.http.pool import split_address
-from plantaingrade.http.server import HttpServer, RequestServer
+from plantaingrade.http.server import HttpServer, RequestHandler
 from plantaingrade.keyspace.directory import KeyMaps
 from plantaingrade.operators.desk import OperatorDesk
 from plantaingrade.peers.calls import PeerCalls
@@ -136,7 +136,7 @@
     @property
     def busy(self) -> int:
         """Return how many requests are being served."""
-        return sum(server.busy for server in self._servers)
+        return sum(server.active_requests for server in self._servers)
 
     def _build_state(self) -> None:
         settings = self._settings
@@ -394,7 +394,7 @@
         await self._peers.endpoint.async_open(*split_address(peers_bind))
 
     async def _async_serve(
-        self, address: str, serve: RequestServer
+        self, address: str, serve: RequestHandler
     ) -> HttpServer:
         server = HttpServer(
             self._clock, serve, refuse_malformed, INTERNAL_IDLE_S
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -166,7 +166,7 @@
     Guard(
         'an idle connection is not trusted',
         'plantaingrade/http/pool.py',
-        'if fresh or channel.closed or age > IDLE_TRUSTED_S:',
+        'if fresh or channel.closed or age > MAX_IDLE_S:',
         'if fresh or channel.closed:',
         'tests/http',
     ),
--- a/tests/holds/connections.py
+++ b/tests/holds/connections.py
@@ -138,7 +138,7 @@
             if status == STATUS_OK:
                 status = self._grant(json.loads(body), arrived)
         if self._chooser.random() < self.close_share:
-            channel.last_answer = True
+            channel.is_last_response = True
         send_answer(channel, Answer(status, (), b''))
 
     def _grant(self, fields: dict[str, Any], arrived: float) -> int:
--- a/tests/http/test_exchange.py
+++ b/tests/http/test_exchange.py
@@ -6,7 +6,7 @@
 
 from plantaingrade.clock import BootClock
 from plantaingrade.http.channel import ChannelClosedError
-from plantaingrade.http.exchange import read_answer, send_request
+from plantaingrade.http.exchange import read_response, send_request
 from plantaingrade.http.messages import Response
 from plantaingrade.http.pool import Pool
 
@@ -41,7 +41,7 @@
             send_request(channel, b'GET', b'/', HEADERS, b'')
             try:
                 async with asyncio.timeout(1):
-                    return await read_answer(channel, is_mine, skipped)
+                    return await read_response(channel, is_mine, skipped)
             finally:
                 server.close()
 
--- a/tests/http/test_pool.py
+++ b/tests/http/test_pool.py
@@ -31,11 +31,11 @@
 
 
 @pytest.mark.parametrize(
-    ('trusted_s', 'idle_s', 'opened'),
+    ('max_idle_s', 'idle_s', 'opened'),
     [(2.0, 1.0, 1), (2.0, 3.0, 2), (20.0, 3.0, 1), (20.0, 21.0, 2)],
 )
 def test_a_connection_is_used_again_while_it_is_trusted(
-    trusted_s, idle_s, opened
+    max_idle_s, idle_s, opened
 ) -> None:
     """Two processes talk to each other every few seconds.
 
@@ -46,7 +46,7 @@
         clock = ShiftedClock()
         server = HttpServer(clock, async_answer, refuse_malformed)
         await server.async_listen('127.0.0.1', 18_779)
-        with Pool(clock, is_probed=True, trusted_s=trusted_s) as pool:
+        with Pool(clock, tcp_keepalive=True, max_idle_s=max_idle_s) as pool:
             await fetch(pool, CALL)
             clock.shift_s = idle_s
             await fetch(pool, CALL)
