--- a/plantaingrade/http/reader.py
+++ b/plantaingrade/http/reader.py
@@ -160,7 +160,7 @@
         raise NotImplementedError
 
     def _header_texts(self, name: bytes) -> list[bytes]:
-        return [text for known, text in self._headers if known == name]
+        return [text for each, text in self._headers if each == name]
 
     def _check_framing(self) -> None:
         """Reject a message whose length is ambiguous.
--- a/plantaingrade/platform/settings.py
+++ b/plantaingrade/platform/settings.py
@@ -56,16 +56,16 @@
             return None
 
     def _find(self, path: str) -> Any:
-        found = self._fields
+        node = self._fields
         for name in path.split('.'):
-            if isinstance(found, dict):
-                found = found.get(name, MISSING)
-            elif isinstance(found, list) and name.isdigit():
-                place = int(name)
-                found = found[place] if place < len(found) else MISSING
+            if isinstance(node, dict):
+                node = node.get(name, MISSING)
+            elif isinstance(node, list) and name.isdigit():
+                index = int(name)
+                node = node[index] if index < len(node) else MISSING
             else:
                 return MISSING
-        return found
+        return node
 
 
 def load_settings(path: str) -> InstanceSettings:
--- a/plantaingrade/platform/units.py
+++ b/plantaingrade/platform/units.py
@@ -26,13 +26,13 @@
     Raises:
         UnreadableFieldError: the text is not a duration with a unit.
     """
-    found = TIME.fullmatch(text) if isinstance(text, str) else None
-    if found is None:
+    matched = TIME.fullmatch(text) if isinstance(text, str) else None
+    if matched is None:
         raise UnreadableFieldError(
             f'Invalid duration {truncated_repr(text)}: '
             'expected a number with the unit ms or s.'
         )
-    amount, unit = found.groups()
+    amount, unit = matched.groups()
     return float(amount) / MS_PER_S if unit == SUFFIX_MS else float(amount)
 
 
@@ -47,12 +47,12 @@
     Raises:
         UnreadableFieldError: the text is not a version.
     """
-    found = VERSION.fullmatch(text) if isinstance(text, str) else None
-    if found is None:
+    matched = VERSION.fullmatch(text) if isinstance(text, str) else None
+    if matched is None:
         raise UnreadableFieldError(
             f'Invalid version {truncated_repr(text)}: expected r and a number.'
         )
-    return int(found.group(1))
+    return int(matched.group(1))
 
 
 def truncated_repr(raw: object) -> str:
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -20,7 +20,7 @@
 from tests.rig import Rig, header, listening_at, request, status
 from tests.routing.test_outcomes import run
 
-BIG = b'x' * 3_000_000
+LARGE_BODY = b'x' * 3_000_000
 CHUNK = b'y' * 262_144
 
 
@@ -79,9 +79,9 @@
 
     async def scenario() -> None:
         async with Rig() as rig:
-            answer = await rig.send(request('POST', body=BIG))
-            assert rig.upstream.bodies == [BIG]
-            assert answer.partition(b'\r\n\r\n')[2] == BIG
+            answer = await rig.send(request('POST', body=LARGE_BODY))
+            assert rig.upstream.bodies == [LARGE_BODY]
+            assert answer.partition(b'\r\n\r\n')[2] == LARGE_BODY
 
     run(scenario)
 
@@ -179,12 +179,12 @@
     async def scenario() -> None:
         clock = FakeClock()
 
-        async def half(_: Request, channel: Channel) -> None:
+        async def send_partial_response(_: Request, channel: Channel) -> None:
             channel.transport.write(b'HTTP/1.0 200 OK\r\n\r\nhalf')
             await asyncio.sleep(0.05)
             channel.abort()
 
-        server = await _serve(half, clock)
+        server = await _serve(send_partial_response, clock)
         call = Call('GET', listening_at(server), '/')
         with Pool(clock) as pool, pytest.raises(ChannelClosedError):
             await fetch(pool, call)
@@ -216,7 +216,9 @@
     An orderly close would make the partial response look complete.
     """
 
-    async def halfway(_: Request, __: bytes, channel: Channel) -> None:
+    async def send_partial_response(
+        _: Request, __: bytes, channel: Channel
+    ) -> None:
         head = Response.build(200, [])
         channel.send(head)
         channel.send(Data(b'first'))
@@ -225,7 +227,7 @@
         channel.abort()
 
     async def scenario() -> None:
-        async with Rig(halfway) as rig:
+        async with Rig(send_partial_response) as rig:
             reader, writer = await rig.open()
             writer.write(b'GET /casebook/1 HTTP/1.0\r\n\r\n')
             with pytest.raises(ConnectionResetError):
@@ -240,23 +242,23 @@
     """Parts of a body must be forwarded before the body is complete."""
 
     async def scenario() -> None:
-        seen = asyncio.Event()
+        has_arrived = asyncio.Event()
 
-        async def watch(_: Request, channel: Channel) -> None:
+        async def check_upload(_: Request, channel: Channel) -> None:
             event = await channel.next_event()
             assert bytes(event.data) == b'first'
-            seen.set()
+            has_arrived.set()
             await read_body(channel)
             send_plain(channel, 200, b'fine')
 
         async with Rig() as rig:
-            rig.upstream.server._serve_request = watch  # noqa: SLF001
+            rig.upstream.server._serve_request = check_upload  # noqa: SLF001
             reader, writer = await rig.open()
             writer.write(
                 b'POST /casebook/1 HTTP/1.1\r\nhost: x\r\n'
                 b'connection: close\r\ncontent-length: 9\r\n\r\nfirst',
             )
-            await seen.wait()
+            await has_arrived.wait()
             writer.write(b'last')
             assert status(await reader.read()) == 200
             writer.close()
@@ -275,7 +277,9 @@
     async def scenario() -> None:
         sent = 0
 
-        async def pour(_: Request, __: bytes, channel: Channel) -> None:
+        async def stream_response(
+            _: Request, __: bytes, channel: Channel
+        ) -> None:
             nonlocal sent
             length = str(total * len(CHUNK))
             headers = [('content-length', length)]
@@ -287,7 +291,7 @@
                 sent += 1
             channel.send(EndOfMessage())
 
-        async with Rig(pour) as rig:
+        async with Rig(stream_response) as rig:
             reader, writer = await rig.open()
             writer.write(request('GET'))
             before = -1
