--- a/plantaingrade/http/const.py
+++ b/plantaingrade/http/const.py
@@ -1,9 +1,9 @@
-"""Names and limits of the HTTP side."""
+"""Headers, status codes and limits of HTTP/1.1 connections."""
 
 MAX_HEAD_BYTES = 16_384
 MAX_UNREAD_BYTES = 262_144
 CONNECT_TIMEOUT_S = 0.5
-IDLE_TRUSTED_S = 2.0
+MAX_IDLE_S = 2.0
 MAX_IDLE_PER_ADDRESS = 100
 CALLER_IDLE_S = 75.0
 
@@ -40,8 +40,8 @@
 SAFE_METHODS = frozenset((b'GET', b'HEAD', b'OPTIONS'))
 IDEMPOTENT_METHODS = SAFE_METHODS | {b'PUT', b'DELETE'}
 
-# Statuses of answers that never have a body.
-BODILESS = frozenset((204, 304))
+# Status codes of responses that never have a body.
+BODILESS_STATUSES = frozenset((204, 304))
 STATUS_OK = 200
 STATUS_BAD_REQUEST = 400
 STATUS_NOT_FOUND = 404
--- a/plantaingrade/requests/server_path.py
+++ b/plantaingrade/requests/server_path.py
@@ -15,7 +15,7 @@
 from plantaingrade.holds.coordinator import HoldCoordinator
 from plantaingrade.http.channel import Channel, ChannelClosedError
 from plantaingrade.http.exchange import (
-    read_answer,
+    read_response,
     send_request,
 )
 from plantaingrade.http.messages import Response
@@ -152,7 +152,7 @@
 
         They may still be open here, and requests sent on them may be lost.
         """
-        self._pool.forget(self._codec.address)
+        self._pool.close_idle(self._codec.address)
         self._report_crash()
 
     def record_crash(self, digests: tuple[str, ...]) -> None:
@@ -327,7 +327,7 @@
         except TimeoutError:
             # A server responds at the deadline at the latest, so the network
             # in between may have dropped the pooled connections.
-            self._pool.forget(self._codec.address)
+            self._pool.close_idle(self._codec.address)
             outcome = Unknown(UnknownReason.TIMEOUT)
         now = self._clock.now()
         self._failures.observe(self._life.instance, outcome, now)
@@ -397,7 +397,7 @@
             return not reply.request_id or reply.request_id == wanted
 
         try:
-            whole = await read_answer(channel, is_own, MAX_SKIPPED_ANSWERS)
+            whole = await read_response(channel, is_own, MAX_SKIPPED_ANSWERS)
         except ChannelClosedError:
             channel.abort()
             return Unknown(UnknownReason.BROKEN)
@@ -411,7 +411,7 @@
         if reply.closes:
             channel.close()
         else:
-            self._pool.give_back(self._codec.address, channel)
+            self._pool.release(self._codec.address, channel)
         return self._to_outcome(reply, whole.body)
 
     def _to_outcome(self, reply: ServerReply, body: bytes) -> Outcome:
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -166,7 +166,7 @@
     Guard(
         'an idle connection is not trusted',
         'plantaingrade/http/pool.py',
-        'if fresh or channel.closed or age > IDLE_TRUSTED_S:',
+        'if fresh or channel.closed or age > MAX_IDLE_S:',
         'if fresh or channel.closed:',
         'tests/http',
     ),
@@ -215,8 +215,8 @@
     Guard(
         'a connection joins a session only once that is proven',
         'plantaingrade/http/session.py',
-        'self._candidates.append((next(self._steps), channel))',
-        'self._join(channel)',
+        'self._candidates.append((next(self._sequence), channel))',
+        'self._add_channel(channel)',
         'tests/http',
     ),
     Guard(
--- a/tests/holds/connections.py
+++ b/tests/holds/connections.py
@@ -139,7 +139,7 @@
             if status == STATUS_OK:
                 status = self._grant(json.loads(body), arrived)
         if self._rng.random() < self.close_share:
-            channel.last_answer = True
+            channel.is_last_response = True
         send_answer(channel, Answer(status, (), b''))
 
     def _grant(self, fields: dict[str, Any], arrived: float) -> int:
--- a/tests/http/test_pool.py
+++ b/tests/http/test_pool.py
@@ -1,4 +1,4 @@
-"""For how long a pool trusts a connection that idles."""
+"""Tests for the reuse of idle connections by a pool."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 
 class ShiftedClock:
-    """The boot clock, put on by a test."""
+    """The boot clock, shifted by a test."""
 
     def __init__(self) -> None:
         self._clock = BootClock()
@@ -31,22 +31,23 @@
 
 
 @pytest.mark.parametrize(
-    ('trusted_s', 'idle_s', 'opened'),
+    ('max_idle_s', 'idle_s', 'opened'),
     [(2.0, 1.0, 1), (2.0, 3.0, 2), (20.0, 3.0, 1), (20.0, 21.0, 2)],
 )
-def test_a_connection_is_used_again_while_it_is_trusted(
-    trusted_s, idle_s, opened
+def test_connection_is_reused_up_to_max_idle_time(
+    max_idle_s, idle_s, opened
 ) -> None:
-    """Two processes talk to each other every few seconds.
+    """Two processes exchange requests every few seconds.
 
-    Each request opened a connection, which took as long as a third of it.
+    With too short a limit each request opened a connection, which took as long
+    as a third of the request.
     """
 
-    async def story() -> int:
+    async def scenario() -> int:
         clock = ShiftedClock()
         server = HttpServer(clock, async_answer, refuse_malformed)
         await server.async_listen('127.0.0.1', 18_779)
-        with Pool(clock, is_probed=True, trusted_s=trusted_s) as pool:
+        with Pool(clock, tcp_keepalive=True, max_idle_s=max_idle_s) as pool:
             await fetch(pool, CALL)
             clock.shift_s = idle_s
             await fetch(pool, CALL)
@@ -54,4 +55,4 @@
         await server.async_close()
         return found
 
-    assert asyncio.run(story()) == opened
+    assert asyncio.run(scenario()) == opened
