--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -7,12 +7,12 @@
 from plantaingrade.clock import BootClock
 from plantaingrade.journal.coordinator import RECORD_CODEC, STATE_CODEC
 from plantaingrade.journal.entity import (
-    Announced,
-    Declared,
+    DeclarationApplied,
     MapState,
+    MemberJoined,
     MemberRow,
     MemberState,
-    OwnerWished,
+    OwnerRequested,
     Record,
     ServiceRow,
 )
@@ -52,7 +52,7 @@
     """Return a map in which every slice has owner and successor."""
     state = MapState()
     service = ServiceRow(SERVICE, nodes * SLICES_PER_NODE, True, 400)
-    append(state, Declared('', 0, (service,)))
+    append(state, DeclarationApplied('', 0, (service,)))
     for number in range(nodes):
         address = f'10.{number % 5}.{number // 250}.{number % 250}'
         row = MemberRow(
@@ -68,7 +68,7 @@
             state=MemberState.READY,
             witnesses=('casebook-1#a', 'casebook-2#b', 'casebook-3#c'),
         )
-        append(state, Announced(row))
+        append(state, MemberJoined(row))
     while changes := plan(state):
         append(state, *changes)
     return state
@@ -86,7 +86,7 @@
         lambda *_: None,
         lambda: clock.now() + 1,
     )
-    record = append(state, OwnerWished('casebook/0', 'nobody', 'c1'))
+    record = append(state, OwnerRequested('casebook/0', 'nobody', 'c1'))
     plan_idle = cpu_us(lambda: plan(state), 5)
     loss = STATE_CODEC.decode(STATE_CODEC.encode(state))
     for part in loss.slices.values():
--- a/plantaingrade/config/coordinator.py
+++ b/plantaingrade/config/coordinator.py
@@ -130,11 +130,11 @@
         """Return the version in force, 0 before the first."""
         return 0 if self.config is None else self.config.version
 
-    def listen(self, listener: Callable[[RoutingConfig], None]) -> None:
+    def add_listener(self, listener: Callable[[RoutingConfig], None]) -> None:
         """Call back after each change."""
         self._listeners.append(listener)
 
-    def listen_rows(self, listener: RowListener) -> None:
+    def add_row_listener(self, listener: RowListener) -> None:
         """Have all rows of the table told, and whether those are all it has."""
         self._row_listeners.append(listener)
 
--- a/plantaingrade/config/evacuations.py
+++ b/plantaingrade/config/evacuations.py
@@ -23,11 +23,11 @@
         self._listener: Listener | None = None
         self.zones: frozenset[str] = frozenset()
 
-    def listen(self, listener: Listener) -> None:
+    def subscribe(self, listener: Listener) -> None:
         """Have a listener told of all zones, and whether that is news."""
         self._listener = listener
 
-    def take(
+    def on_rows(
         self,
         rows: tuple[Row, ...],
         *,
--- a/plantaingrade/journal/checks.py
+++ b/plantaingrade/journal/checks.py
@@ -18,7 +18,7 @@
     return row is not None and row.state is MemberState.READY
 
 
-def is_over(state: MapState, member: str | None) -> bool:
+def has_ended(state: MapState, member: str | None) -> bool:
     """Tell whether the journal proves that a member's lease has ended."""
     row = state.members.get(member or '')
     return row is None or row.state is MemberState.OVER
--- a/plantaingrade/journal/coordinator.py
+++ b/plantaingrade/journal/coordinator.py
@@ -85,7 +85,7 @@
         self._outcomes_by_write: dict[str, list[ChangeOutcome]] = {}
         self._recent: deque[Record] = deque(maxlen=PULL_LIMIT)
 
-    def listen(self, listener: RecordListener) -> None:
+    def add_listener(self, listener: RecordListener) -> None:
         """Call a listener after each record, before the next is applied."""
         self._listeners.append(listener)
 
--- a/plantaingrade/journal/entity.py
+++ b/plantaingrade/journal/entity.py
@@ -117,7 +117,7 @@
     declaration_generation: int = 0
 
 
-class Announced(Message):
+class MemberJoined(Message, tag='Announced'):
     """A process joins."""
 
     row: MemberRow
@@ -131,7 +131,7 @@
     expected: MemberState | None = None
 
 
-class Witnessed(Message):
+class WitnessesReplaced(Message, tag='Witnessed'):
     """A process replaces the witnesses of its own lease."""
 
     member: str
@@ -153,14 +153,14 @@
     member: str
 
 
-class SuccessorWished(Message):
+class SuccessorRequested(Message, tag='SuccessorWished'):
     """The named successor is asked to stand back for another."""
 
     slice_id: str
     member: str
 
 
-class OwnerWished(Message):
+class OwnerRequested(Message, tag='OwnerWished'):
     """An operator or the placement wants another owner for the slice."""
 
     slice_id: str
@@ -168,7 +168,7 @@
     command_id: str
 
 
-class Renounced(Message):
+class SuccessorWithdrawn(Message, tag='Renounced'):
     """The named successor stands back; only it may write this.
 
     The fence tells which naming it stands back from.
@@ -179,14 +179,14 @@
     fence: int
 
 
-class Moving(Message):
+class MoveStarted(Message, tag='Moving'):
     """The owner is asked to release the slice to its successor."""
 
     slice_id: str
     command_id: str
 
 
-class Took(Message):
+class TakenOver(Message, tag='Took'):
     """The named successor owns the slice now; only it may write this."""
 
     slice_id: str
@@ -202,20 +202,20 @@
     epoch: int
 
 
-class Carved(Message):
+class HotKeySplit(Message, tag='Carved'):
     """A hot key gets an assignment of its own."""
 
     service: str
     key: str
 
 
-class Merged(Message):
+class HotKeyMerged(Message, tag='Merged'):
     """A hot key returns to its slice."""
 
     slice_id: str
 
 
-class Declared(Message):
+class DeclarationApplied(Message, tag='Declared'):
     """A declarations document comes into force."""
 
     text: str
@@ -223,7 +223,7 @@
     services: tuple[ServiceRow, ...]
 
 
-class Commanded(Message):
+class CommandAccepted(Message, tag='Commanded'):
     """An operator command is accepted."""
 
     command_id: str
@@ -234,21 +234,21 @@
 
 
 Change = (
-    Announced
+    MemberJoined
     | StateSet
-    | Witnessed
+    | WitnessesReplaced
     | Assigned
     | SuccessorNamed
-    | SuccessorWished
-    | OwnerWished
-    | Renounced
-    | Moving
-    | Took
+    | SuccessorRequested
+    | OwnerRequested
+    | SuccessorWithdrawn
+    | MoveStarted
+    | TakenOver
     | Ended
-    | Carved
-    | Merged
-    | Declared
-    | Commanded
+    | HotKeySplit
+    | HotKeyMerged
+    | DeclarationApplied
+    | CommandAccepted
 )
 
 
--- a/plantaingrade/journal/rules.py
+++ b/plantaingrade/journal/rules.py
@@ -10,15 +10,15 @@
 from plantaingrade.journal.checks import APPLIED, STALE
 from plantaingrade.journal.const import MAX_REMEMBERED_COMMANDS
 from plantaingrade.journal.entity import (
-    Announced,
-    Carved,
     Change,
     ChangeOutcome,
-    Commanded,
+    CommandAccepted,
     CommandRow,
-    Declared,
+    DeclarationApplied,
     Ended,
+    HotKeySplit,
     MapState,
+    MemberJoined,
     MemberRow,
     MemberState,
     Proof,
@@ -27,7 +27,7 @@
     RejectReason,
     SliceRow,
     StateSet,
-    Witnessed,
+    WitnessesReplaced,
 )
 from plantaingrade.journal.keys import range_slice_id
 from plantaingrade.journal.slice_rules import carve, change_slice
@@ -44,7 +44,9 @@
     for change in record.changes:
         outcome = apply_change(state, change)
         outcomes.append(outcome)
-        if isinstance(change, Commanded) and isinstance(outcome, Rejected):
+        if isinstance(change, CommandAccepted) and isinstance(
+            outcome, Rejected
+        ):
             rest = record.changes[len(outcomes) :]
             outcomes.extend(outcome for _ in rest)
             break
@@ -55,15 +57,15 @@
 def apply_change(state: MapState, change: Change) -> ChangeOutcome:
     """Apply one change to the map."""
     match change:
-        case Announced(row=row):
+        case MemberJoined(row=row):
             return _announce(state, row)
-        case StateSet() | Witnessed() | Ended():
+        case StateSet() | WitnessesReplaced() | Ended():
             return _change_member(state, change)
-        case Declared():
+        case DeclarationApplied():
             return _declare(state, change)
-        case Commanded():
+        case CommandAccepted():
             return _command(state, change)
-        case Carved():
+        case HotKeySplit():
             return carve(state, change)
     return change_slice(state, change)
 
@@ -92,7 +94,7 @@
 
 def _change_member(
     state: MapState,
-    change: StateSet | Witnessed | Ended,
+    change: StateSet | WitnessesReplaced | Ended,
 ) -> ChangeOutcome:
     row = state.members.get(change.member)
     if row is None or row.state is MemberState.OVER:
@@ -100,7 +102,7 @@
     match change:
         case StateSet():
             return _set_state(row, change)
-        case Witnessed(witnesses=witnesses, epoch=epoch):
+        case WitnessesReplaced(witnesses=witnesses, epoch=epoch):
             if epoch != row.epoch + 1:
                 return STALE
             row.witnesses = witnesses
@@ -152,7 +154,7 @@
             state.members.pop(member)
 
 
-def _declare(state: MapState, change: Declared) -> ChangeOutcome:
+def _declare(state: MapState, change: DeclarationApplied) -> ChangeOutcome:
     if change.based_on != state.declaration_generation:
         return STALE
     for service in change.services:
@@ -187,7 +189,7 @@
             state.slices.pop(slice_id)
 
 
-def _command(state: MapState, change: Commanded) -> ChangeOutcome:
+def _command(state: MapState, change: CommandAccepted) -> ChangeOutcome:
     known = state.commands.get(change.command_id)
     if known is not None:
         return Rejected(RejectReason.DUPLICATE, known.command_id)
@@ -206,7 +208,7 @@
     return APPLIED
 
 
-def _conflicting(state: MapState, change: Commanded) -> str | None:
+def _conflicting(state: MapState, change: CommandAccepted) -> str | None:
     # The journal orders commands of two operators; one made from an older
     # generation than the last loses.
     for known in reversed(state.commands.values()):
--- a/plantaingrade/journal/slice_rules.py
+++ b/plantaingrade/journal/slice_rules.py
@@ -1,22 +1,22 @@
 """Rules for the rows of slices and hot keys."""
 
-from plantaingrade.journal.checks import APPLIED, STALE, is_eligible, is_over
+from plantaingrade.journal.checks import APPLIED, STALE, has_ended, is_eligible
 from plantaingrade.journal.const import MAX_HOT_KEYS_PER_SERVICE
 from plantaingrade.journal.entity import (
     Assigned,
-    Carved,
     Change,
     ChangeOutcome,
+    HotKeySplit,
     MapState,
-    Moving,
-    OwnerWished,
+    MoveStarted,
+    OwnerRequested,
     Rejected,
     RejectReason,
-    Renounced,
     SliceRow,
     SuccessorNamed,
-    SuccessorWished,
-    Took,
+    SuccessorRequested,
+    SuccessorWithdrawn,
+    TakenOver,
 )
 from plantaingrade.journal.keys import (
     hot_slice_id,
@@ -27,7 +27,7 @@
 )
 
 
-def carve(state: MapState, change: Carved) -> ChangeOutcome:
+def carve(state: MapState, change: HotKeySplit) -> ChangeOutcome:
     """Give a hot key an assignment of its own."""
     service = state.services.get(change.service)
     if service is None:
@@ -69,15 +69,15 @@
             return _assign(state, part, member)
         case SuccessorNamed(member=member):
             return _name_successor(state, part, member)
-        case SuccessorWished(member=member):
+        case SuccessorRequested(member=member):
             return _wish_successor(state, part, member)
-        case OwnerWished():
+        case OwnerRequested():
             return _wish_owner(state, part, change)
-        case Renounced():
+        case SuccessorWithdrawn():
             return _renounce(state, part, change)
-        case Moving(command_id=command_id):
+        case MoveStarted(command_id=command_id):
             return _start_move(state, part, command_id)
-        case Took():
+        case TakenOver():
             return _take(state, part, change)
     return _merge(state, part)
 
@@ -129,7 +129,7 @@
 def _wish_owner(
     state: MapState,
     part: SliceRow,
-    change: OwnerWished,
+    change: OwnerRequested,
 ) -> ChangeOutcome:
     if part.wanted_owner is not None or part.moving is not None:
         return Rejected(RejectReason.CONFLICT, part.wanted_by or part.moving)
@@ -143,7 +143,7 @@
 def _renounce(
     state: MapState,
     part: SliceRow,
-    change: Renounced,
+    change: SuccessorWithdrawn,
 ) -> ChangeOutcome:
     if part.successor != change.member:
         return Rejected(RejectReason.NOT_SUCCESSOR)
@@ -165,13 +165,13 @@
         return Rejected(RejectReason.CONFLICT, part.moving)
     if part.next_successor is not None:
         return STALE
-    if not is_eligible(state, part.successor) or is_over(state, part.owner):
+    if not is_eligible(state, part.successor) or has_ended(state, part.owner):
         return Rejected(RejectReason.NOT_ELIGIBLE)
     part.moving = command_id
     return APPLIED
 
 
-def _take(state: MapState, part: SliceRow, change: Took) -> ChangeOutcome:
+def _take(state: MapState, part: SliceRow, change: TakenOver) -> ChangeOutcome:
     if part.successor != change.member:
         return Rejected(RejectReason.NOT_SUCCESSOR)
     if part.successor_fence != change.fence:
--- a/plantaingrade/leases/coordinator.py
+++ b/plantaingrade/leases/coordinator.py
@@ -7,12 +7,12 @@
 from absl import logging
 
 from plantaingrade.clock import Clock
-from plantaingrade.journal.checks import is_over
+from plantaingrade.journal.checks import has_ended
 from plantaingrade.journal.entity import (
     MapState,
     MemberRow,
     MemberState,
-    Witnessed,
+    WitnessesReplaced,
 )
 from plantaingrade.leases.const import (
     EARLIEST,
@@ -82,7 +82,7 @@
         self._next_check_at = EARLIEST
         self._settled_at = clock.now()
         self._epoch_acks: set[str] = set()
-        self._candidate: Witnessed | None = None
+        self._candidate: WitnessesReplaced | None = None
         self._lapsed_since: dict[tuple[str, int], float] = {}
 
     def until(self) -> float:
@@ -151,7 +151,7 @@
         self._row.epoch = epoch
         self._settled_at = self._clock.now()
 
-    def replacement(self) -> Witnessed | None:
+    def replacement(self) -> WitnessesReplaced | None:
         """Return the change of witnesses to append now, if there is one.
 
         The holder first renews at the new witnesses, then requires them, and
@@ -177,7 +177,7 @@
         if wanted is None:
             return
         epoch = self.holder.epochs[-1] + 1
-        self._candidate = Witnessed(self._row.member, wanted, epoch)
+        self._candidate = WitnessesReplaced(self._row.member, wanted, epoch)
         self.holder.try_epoch(epoch, wanted)
         self._settled_at = now
         self._next_renewal_at = EARLIEST
@@ -202,7 +202,7 @@
                 self.witness.forget(member, epoch)
                 self._lapsed_since.pop((member, epoch), None)
         for member in self.polls.members():
-            if is_over(state, member):
+            if has_ended(state, member):
                 self.polls.forget(member)
             else:
                 self.polls.outdate(member, state.members[member].epoch)
@@ -218,7 +218,7 @@
         kept = [
             witness
             for witness in current
-            if not is_over(state, witness)
+            if not has_ended(state, witness)
             and now - self.holder.last_ack(epochs[-1], witness) < LEASE_S
             and witness != self._row.member
         ]
--- a/plantaingrade/membership/coordinator.py
+++ b/plantaingrade/membership/coordinator.py
@@ -52,7 +52,7 @@
         self.draining: set[str] = set()
         self.generation_by_member: dict[str, int] = {}
         self.pulls = 0
-        journal.listen(self.on_record)
+        journal.add_listener(self.on_record)
 
     async def async_run(self) -> None:
         """Send heartbeats to random peers until cancelled."""
--- a/plantaingrade/node/parts.py
+++ b/plantaingrade/node/parts.py
@@ -20,7 +20,7 @@
     MemberRow,
     MemberState,
     Record,
-    Witnessed,
+    WitnessesReplaced,
 )
 from plantaingrade.leases.coordinator import LeaseCoordinator
 from plantaingrade.membership.coordinator import MembershipCoordinator
@@ -158,7 +158,7 @@
             send,
             self.leases.until,
         )
-        self.journal.listen(self._on_record)
+        self.journal.add_listener(self._on_record)
         self.membership = MembershipCoordinator(
             self.journal,
             self.endpoint,
@@ -198,7 +198,7 @@
             self.metrics,
             self.clock,
         )
-        self.journal.listen(self.router.waits.on_record)
+        self.journal.add_listener(self.router.waits.on_record)
 
     def _on_datagram(self, message: Any) -> None:
         match message:
@@ -215,10 +215,10 @@
         self.ownership.on_record(record, outcomes)
         self.leases.forget_ended()
         for change in record.changes:
-            mine = isinstance(change, Witnessed)
+            mine = isinstance(change, WitnessesReplaced)
             if mine and change.member == self.row.member:
                 self._follow_witnesses(change)
 
-    def _follow_witnesses(self, change: Witnessed) -> None:
+    def _follow_witnesses(self, change: WitnessesReplaced) -> None:
         if change.epoch > self.row.epoch:
             self.leases.on_new_epoch(change.epoch, change.witnesses)
--- a/plantaingrade/node/runtime.py
+++ b/plantaingrade/node/runtime.py
@@ -13,10 +13,10 @@
 from plantaingrade.http.pool import split_address
 from plantaingrade.http.server import HttpServer
 from plantaingrade.journal.entity import (
-    Announced,
     Applied,
     Ended,
     MapState,
+    MemberJoined,
     MemberState,
     Proof,
     Rejected,
@@ -160,7 +160,7 @@
     async def _announce(self) -> None:
         while True:
             await self._wait_for_declaration()
-            match await self._loops.async_try_append(Announced(self._row)):
+            match await self._loops.async_try_append(MemberJoined(self._row)):
                 case Applied():
                     break
                 case Rejected(reason=reason):
--- a/plantaingrade/operators/coordinator.py
+++ b/plantaingrade/operators/coordinator.py
@@ -10,15 +10,15 @@
 )
 from plantaingrade.journal.entity import (
     Applied,
-    Carved,
     Change,
     ChangeOutcome,
-    Commanded,
-    Declared,
+    CommandAccepted,
+    DeclarationApplied,
+    HotKeySplit,
     MapState,
     MemberRow,
     MemberState,
-    OwnerWished,
+    OwnerRequested,
     Rejected,
     RejectReason,
     StateSet,
@@ -111,7 +111,7 @@
             return Refused(command_id, 'keys have no numbers here')
         state = self._journal.state
         target, effects = plan_command(state, command, command_id)
-        commanded = Commanded(
+        commanded = CommandAccepted(
             command_id,
             operator,
             text,
@@ -131,7 +131,7 @@
             DeclarationError: the document has mistakes.
         """
         services = read_declaration(text)
-        declared = Declared(text, based_on, services)
+        declared = DeclarationApplied(text, based_on, services)
         try:
             outcomes = await self._journal.async_append(declared)
         except JournalUnavailableError:
@@ -174,13 +174,18 @@
     match command:
         case MoveKey(service=service, key=key, server=server):
             slice_id = hot_slice_id(service, key)
-            wish = OwnerWished(slice_id, find_member(state, server), command_id)
+            wish = OwnerRequested(
+                slice_id, find_member(state, server), command_id
+            )
             known = slice_id in state.slices
-            return slice_id, [wish] if known else [Carved(service, key), wish]
+            return slice_id, [wish] if known else [
+                HotKeySplit(service, key),
+                wish,
+            ]
         case MoveSlice(service=service, index=index, server=server):
             slice_id = range_slice_id(service, index)
             member = find_member(state, server)
-            return slice_id, [OwnerWished(slice_id, member, command_id)]
+            return slice_id, [OwnerRequested(slice_id, member, command_id)]
         case (
             Drain(server=server) | Resume(server=server) | Retire(server=server)
         ):
--- a/plantaingrade/ownership/coordinator.py
+++ b/plantaingrade/ownership/coordinator.py
@@ -9,18 +9,18 @@
 from plantaingrade.clock import Clock
 from plantaingrade.const import MS_PER_S
 from plantaingrade.journal.entity import (
-    Carved,
     Change,
     ChangeOutcome,
     Ended,
+    HotKeySplit,
     MapState,
     MemberRow,
     MemberState,
     Proof,
     Record,
-    Renounced,
     SliceRow,
-    Took,
+    SuccessorWithdrawn,
+    TakenOver,
 )
 from plantaingrade.journal.keys import find_slice, is_hot, parent_slice_id
 from plantaingrade.leases.const import DRIFT, LEASE_S
@@ -142,7 +142,7 @@
         """Follow one record; called before the next is applied."""
         state = self._state()
         for change in record.changes:
-            if isinstance(change, Carved):
+            if isinstance(change, HotKeySplit):
                 self._follow_range(state, change)
         self.table.settle(state)
         self._schedule_ended(state)
@@ -236,7 +236,7 @@
         taken = [
             change.slice_id
             for change in self._to_append
-            if isinstance(change, Took)
+            if isinstance(change, TakenOver)
         ]
         named = name_own_successors(
             state,
@@ -349,7 +349,7 @@
 
     def _note_take(self, part: SliceRow) -> None:
         self.takeovers += 1
-        took = Took(part.slice_id, self._row.member, part.successor_fence)
+        took = TakenOver(part.slice_id, self._row.member, part.successor_fence)
         self._to_append[took] = None
 
     def _answer_wishes(self, state: MapState) -> None:
@@ -357,14 +357,14 @@
             if part.next_successor is None:
                 continue
             if part.successor == self._row.member and self.table.renounce(part):
-                renounced = Renounced(
+                renounced = SuccessorWithdrawn(
                     part.slice_id,
                     self._row.member,
                     part.successor_fence,
                 )
                 self._to_append[renounced] = None
 
-    def _follow_range(self, state: MapState, carved: Carved) -> None:
+    def _follow_range(self, state: MapState, carved: HotKeySplit) -> None:
         part = find_slice(state, carved.service, carved.key)
         if part is None or part.owner != self._row.member:
             return
@@ -381,10 +381,10 @@
             row = state.members.get(member)
             alive = row is not None and row.state is not MemberState.OVER
             return alive and row.epoch == epoch
-        case Took(slice_id=slice_id, fence=fence):
+        case TakenOver(slice_id=slice_id, fence=fence):
             part = state.slices.get(slice_id)
             return part is not None and part.successor_fence == fence
-        case Renounced(slice_id=slice_id, fence=fence):
+        case SuccessorWithdrawn(slice_id=slice_id, fence=fence):
             part = state.slices.get(slice_id)
             return part is not None and part.successor_fence == fence
     return False
--- a/plantaingrade/ownership/handover.py
+++ b/plantaingrade/ownership/handover.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from plantaingrade.clock import Clock
-from plantaingrade.journal.checks import is_over
+from plantaingrade.journal.checks import has_ended
 from plantaingrade.journal.entity import MapState, MemberRow, SliceRow
 from plantaingrade.leases.const import EARLIEST
 from plantaingrade.ownership.const import ACCEPTANCE_S, RELEASE_EVERY_S
@@ -122,7 +122,7 @@
         if part.successor in {None, self._row.member}:
             return False
         state = self._state()
-        if is_over(state, part.successor):
+        if has_ended(state, part.successor):
             return False
         return self._table.fence(state, part) is not None
 
--- a/plantaingrade/placement/policy.py
+++ b/plantaingrade/placement/policy.py
@@ -11,18 +11,18 @@
 
 from msgspec.structs import replace
 
-from plantaingrade.journal.checks import is_eligible, is_over
+from plantaingrade.journal.checks import has_ended, is_eligible
 from plantaingrade.journal.entity import (
     Assigned,
     Change,
     MapState,
     MemberRow,
     MemberState,
-    Moving,
-    OwnerWished,
+    MoveStarted,
+    OwnerRequested,
     SliceRow,
     SuccessorNamed,
-    SuccessorWished,
+    SuccessorRequested,
 )
 from plantaingrade.placement.const import (
     BALANCE_ID,
@@ -173,12 +173,12 @@
         settled = part.next_successor is None and part.moving is None
         if not settled or part.successor is None:
             continue
-        if is_over(view.state, part.owner):
+        if has_ended(view.state, part.owner):
             continue
         wanted = _wanted_successor(view, part)
         if wanted is not None:
             view.back(part, wanted)
-            yield SuccessorWished(part.slice_id, wanted)
+            yield SuccessorRequested(part.slice_id, wanted)
 
 
 def _wanted_successor(view: ServiceView, part: SliceRow) -> str | None:
@@ -196,16 +196,16 @@
         if not _can_move(view, part):
             continue
         if part.wanted_owner == part.successor:
-            yield Moving(part.slice_id, part.wanted_by)
+            yield MoveStarted(part.slice_id, part.wanted_by)
         elif _must_leave(view, part):
-            yield Moving(part.slice_id, DRAIN_ID)
+            yield MoveStarted(part.slice_id, DRAIN_ID)
 
 
 def _can_move(view: ServiceView, part: SliceRow) -> bool:
     """Tell whether owner and successor can hand the slice over now."""
     if part.moving is not None or part.next_successor is not None:
         return False
-    if part.owner is None or is_over(view.state, part.owner):
+    if part.owner is None or has_ended(view.state, part.owner):
         return False
     return is_eligible(view.state, part.successor)
 
@@ -233,7 +233,7 @@
             return
         view.owned_by_member[high.member] -= 1
         view.owned_by_member[low.member] += 1
-        part_wish = OwnerWished(part.slice_id, low.member, BALANCE_ID)
+        part_wish = OwnerRequested(part.slice_id, low.member, BALANCE_ID)
         yield part_wish
 
 
--- a/plantaingrade/sidecar/process.py
+++ b/plantaingrade/sidecar/process.py
@@ -58,7 +58,7 @@
 from plantaingrade.sidecar.server_watch import LifeHooks, OwnServer, ServerWatch
 from plantaingrade.sidecar.settings import InstanceSettings, OwnOptions
 from plantaingrade.sidecar.wire import PlatformWire
-from plantaingrade.store.relay import RelayHandler, RelayedStore
+from plantaingrade.store.relay import RelayedStore, RelayHandler
 
 BOOT_BYTES = 4
 _LOGGER = logging.getLogger(__name__)
@@ -211,7 +211,7 @@
         )
         self._maps.listen(lambda service, _: self.holds.on_map(service))
         self._evacuations = Evacuations(self._wire.evacuation_prefix)
-        self._config.listen_rows(self._evacuations.take)
+        self._config.add_row_listener(self._evacuations.on_rows)
 
     def _build_paths(self) -> None:
         self._gate = Gate.from_slots(FIRST_SLOTS, self._clock)
@@ -306,7 +306,7 @@
             self._settings.bounds.evacuate_s,
             self._log,
         )
-        self._evacuations.listen(self._retreat.on_evacuations)
+        self._evacuations.subscribe(self._retreat.on_evacuations)
         self._caller_front = CallerFront(
             self._requests,
             self._wire.decode_request,
@@ -381,7 +381,7 @@
             self._caller_front,
             self._gate.queue.cold,
         )
-        self._config.listen(effects.apply)
+        self._config.add_listener(effects.apply)
         peers_bind = self._options.peers_bind or listeners.peers
         serve_by_address = {
             peers_bind: self._peer_front.async_handle,
--- a/tests/cloud/test_table.py
+++ b/tests/cloud/test_table.py
@@ -21,7 +21,7 @@
     JournalCoordinator,
     JournalUnavailableError,
 )
-from plantaingrade.journal.entity import Applied, Declared, ServiceRow
+from plantaingrade.journal.entity import Applied, DeclarationApplied, ServiceRow
 from plantaingrade.routing.respond import refuse_malformed
 from standins.platform import ObjectStandIn, TableStandIn
 from tests.rig import listening_at
@@ -140,9 +140,9 @@
         await journal.async_load()
         bench.table.faults.lose_answers = 1.0
         with pytest.raises(JournalUnavailableError):
-            await journal.async_append(Declared('x', 0, SERVICES))
+            await journal.async_append(DeclarationApplied('x', 0, SERVICES))
         bench.table.faults.lose_answers = 0.0
-        await journal.async_append(Declared('x', 0, SERVICES))
+        await journal.async_append(DeclarationApplied('x', 0, SERVICES))
         assert journal.state.declaration_generation == 1
         assert journal.state.declaration == 'x'
 
@@ -155,7 +155,7 @@
     async def story(bench: Bench) -> None:
         writer = bench.journal('a')
         for number in range(250):
-            change = Declared(f'{number}', number, SERVICES)
+            change = DeclarationApplied(f'{number}', number, SERVICES)
             assert await writer.async_append(change) == [Applied()]
         await writer.async_snapshot()
         assert bench.store.body_by_name
@@ -173,9 +173,11 @@
     async def story(bench: Bench) -> None:
         writer = bench.journal('a')
         for number in range(220):
-            await writer.async_append(Declared(f'{number}', number, SERVICES))
+            await writer.async_append(
+                DeclarationApplied(f'{number}', number, SERVICES)
+            )
         await writer.async_snapshot()
-        await writer.async_append(Declared('last', 220, SERVICES))
+        await writer.async_append(DeclarationApplied('last', 220, SERVICES))
         before = bench.table.reads
         reader = bench.journal('b')
         await reader.async_load()
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -7,16 +7,16 @@
 
 from plantaingrade.codec import Codec
 from plantaingrade.journal.entity import (
-    Announced,
     Change,
-    Declared,
+    DeclarationApplied,
     MapState,
+    MemberJoined,
     MemberRow,
     MemberState,
     Record,
     ServiceRow,
     StateSet,
-    Witnessed,
+    WitnessesReplaced,
 )
 from plantaingrade.journal.rules import apply_record
 from plantaingrade.leases.coordinator import LeaseCoordinator, choose_witnesses
@@ -172,7 +172,10 @@
         return found
 
     def _follow(self, change: Change) -> None:
-        if not isinstance(change, Witnessed) or change.member != self.name:
+        if (
+            not isinstance(change, WitnessesReplaced)
+            or change.member != self.name
+        ):
             return
         if change.epoch > self.row.epoch:
             self.leases.on_new_epoch(change.epoch, change.witnesses)
@@ -226,11 +229,11 @@
         member = FakeMember(row, self)
         if not self.journal:
             service = ServiceRow(SERVICE, self.slices, True, 400)
-            member.append(Declared('', 0, (service,)))
+            member.append(DeclarationApplied('', 0, (service,)))
         member.catch_up()
         row.witnesses = choose_witnesses(member.state, row)
         member.leases.holder.add_epoch(1, row.witnesses)
-        member.append(Announced(row))
+        member.append(MemberJoined(row))
         self.members.append(member)
         return member
 
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -345,7 +345,9 @@
 
     async def story(store: FakeStore, follower: ConfigFollower) -> None:
         taken: list[bool] = []
-        follower.listen_rows(lambda _, **how: taken.append(how['may_lack']))
+        follower.add_row_listener(
+            lambda _, **how: taken.append(how['may_lack'])
+        )
         await asyncio.sleep(1.0)
         store.version += VERSIONS_PER_EPOCH
         store.history_from = store.version
--- a/tests/journal/test_coordinator.py
+++ b/tests/journal/test_coordinator.py
@@ -18,7 +18,7 @@
     JournalCoordinator,
     JournalUnavailableError,
 )
-from plantaingrade.journal.entity import Applied, Declared, ServiceRow
+from plantaingrade.journal.entity import Applied, DeclarationApplied, ServiceRow
 
 SERVICES = (ServiceRow('casebook', 2, True, 400),)
 
@@ -77,8 +77,8 @@
     return JournalCoordinator(table, None, author)
 
 
-def _declared(based_on: int = 0) -> Declared:
-    return Declared(f'from {based_on}', based_on, SERVICES)
+def _declared(based_on: int = 0) -> DeclarationApplied:
+    return DeclarationApplied(f'from {based_on}', based_on, SERVICES)
 
 
 def test_lost_answer_is_read_back_and_written_once() -> None:
--- a/tests/journal/test_rules.py
+++ b/tests/journal/test_rules.py
@@ -4,24 +4,24 @@
 
 from plantaingrade.journal.const import MAX_HOT_KEYS_PER_SERVICE
 from plantaingrade.journal.entity import (
-    Announced,
     Applied,
-    Carved,
-    Commanded,
-    Declared,
+    CommandAccepted,
+    DeclarationApplied,
     Ended,
+    HotKeySplit,
+    MemberJoined,
     MemberRow,
     MemberState,
-    Moving,
-    OwnerWished,
+    MoveStarted,
+    OwnerRequested,
     Proof,
     Rejected,
     RejectReason,
     ServiceRow,
     StateSet,
     SuccessorNamed,
-    Took,
-    Witnessed,
+    TakenOver,
+    WitnessesReplaced,
 )
 from tests.ownership.test_table import SLICE, append, make_state
 
@@ -48,7 +48,7 @@
 def test_restart_at_the_same_address_ends_the_predecessor() -> None:
     """A process restarts before its lease has run out anywhere."""
     state = make_state()
-    outcome = append(state, Announced(_row('a2', 'a', 'http-a')))
+    outcome = append(state, MemberJoined(_row('a2', 'a', 'http-a')))
     assert outcome == [Applied()]
     assert state.members['a'].state is MemberState.OVER
     assert state.members['a'].proof is Proof.RESTART
@@ -57,7 +57,7 @@
 def test_server_id_at_another_address_is_refused() -> None:
     """A mistyped server id: two processes would displace each other."""
     state = make_state()
-    outcome = append(state, Announced(_row('a2', 'a', 'elsewhere')))
+    outcome = append(state, MemberJoined(_row('a2', 'a', 'elsewhere')))
     assert _reason(outcome[0]) is RejectReason.SERVER_IN_USE
     assert state.members['a'].state is MemberState.READY
 
@@ -70,8 +70,8 @@
     """
     state = make_state()
     seen = state.generation
-    first = Commanded('c1', 'ana', 'drain a', 'a', seen)
-    second = Commanded('c2', 'bo', 'resume a', 'a', seen)
+    first = CommandAccepted('c1', 'ana', 'drain a', 'a', seen)
+    second = CommandAccepted('c2', 'bo', 'resume a', 'a', seen)
     append(state, first, StateSet('a', MemberState.DRAINING))
     lost = append(state, second, StateSet('a', MemberState.READY))
     assert lost[0] == Rejected(RejectReason.CONFLICT, 'c1')
@@ -82,7 +82,7 @@
     """An operator's answer was lost, and the command is sent again."""
     state = make_state()
     seen = state.generation
-    command = Commanded('c1', 'ana', 'drain a', 'a', seen)
+    command = CommandAccepted('c1', 'ana', 'drain a', 'a', seen)
     append(state, command, StateSet('a', MemberState.DRAINING))
     append(state, StateSet('a', MemberState.READY))
     again = append(state, command, StateSet('a', MemberState.DRAINING))
@@ -95,12 +95,12 @@
     state = make_state()
     append(
         state,
-        Commanded('c1', 'ana', 'drain a', 'a', state.generation),
+        CommandAccepted('c1', 'ana', 'drain a', 'a', state.generation),
         StateSet('a', MemberState.DRAINING),
     )
     outcome = append(
         state,
-        Commanded('c2', 'bo', 'resume a', 'a', state.generation),
+        CommandAccepted('c2', 'bo', 'resume a', 'a', state.generation),
         StateSet('a', MemberState.READY),
     )
     assert outcome[0] == Applied()
@@ -115,9 +115,11 @@
     state = make_state()
     seen = state.declaration_generation
     service = ServiceRow('casebook', 1, True, 100)
-    assert append(state, Declared('new', seen, (service,))) == [Applied()]
+    assert append(state, DeclarationApplied('new', seen, (service,))) == [
+        Applied()
+    ]
     older = ServiceRow('casebook', 1, True, 500)
-    outcome = append(state, Declared('old', seen, (older,)))
+    outcome = append(state, DeclarationApplied('old', seen, (older,)))
     assert _reason(outcome[0]) is RejectReason.STALE
     assert state.services['casebook'].unfenced_grace_ms == 100
 
@@ -126,7 +128,9 @@
     """Another number of ranges would give every key another owner at once."""
     state = make_state()
     service = ServiceRow('casebook', 9, True, 400)
-    append(state, Declared('', state.declaration_generation, (service,)))
+    append(
+        state, DeclarationApplied('', state.declaration_generation, (service,))
+    )
     assert state.services['casebook'].slices == 1
 
 
@@ -134,11 +138,11 @@
     """A process that was successor once takes over from an old view."""
     state = make_state()
     fence = state.slices[SLICE].successor_fence
-    assert append(state, Took(SLICE, 'c', fence)) != [Applied()]
-    assert append(state, Took(SLICE, 'b', fence - 1)) != [Applied()]
-    assert append(state, Took(SLICE, 'b', fence)) == [Applied()]
+    assert append(state, TakenOver(SLICE, 'c', fence)) != [Applied()]
+    assert append(state, TakenOver(SLICE, 'b', fence - 1)) != [Applied()]
+    assert append(state, TakenOver(SLICE, 'b', fence)) == [Applied()]
     assert state.slices[SLICE].owner == 'b'
-    assert append(state, Took(SLICE, 'b', fence)) != [Applied()]
+    assert append(state, TakenOver(SLICE, 'b', fence)) != [Applied()]
 
 
 def test_fences_rise_with_every_owner() -> None:
@@ -147,7 +151,7 @@
     fences = [state.slices[SLICE].fence]
     for heir, successor in (('b', 'a'), ('a', 'b'), ('b', 'a')):
         part = state.slices[SLICE]
-        append(state, Took(SLICE, heir, part.successor_fence))
+        append(state, TakenOver(SLICE, heir, part.successor_fence))
         append(state, SuccessorNamed(SLICE, successor))
         fences.append(part.fence)
     assert fences == sorted(set(fences))
@@ -156,7 +160,7 @@
 def test_testimony_of_another_epoch_ends_nobody() -> None:
     """Former witnesses' testimony reaches the journal after a change."""
     state = make_state()
-    append(state, Witnessed('a', ('x', 'y', 'z'), 2))
+    append(state, WitnessesReplaced('a', ('x', 'y', 'z'), 2))
     outcome = append(state, Ended('a', Proof.TESTIMONY, 1))
     assert _reason(outcome[0]) is RejectReason.STALE
     assert state.members['a'].state is MemberState.READY
@@ -165,7 +169,7 @@
 def test_end_of_a_successor_frees_its_places() -> None:
     """The successor of a moving slice is lost; the move is undone."""
     state = make_state()
-    append(state, Moving(SLICE, 'c1'))
+    append(state, MoveStarted(SLICE, 'c1'))
     append(state, Ended('b', Proof.TESTIMONY, 1))
     part = state.slices[SLICE]
     assert (part.successor, part.moving) == (None, None)
@@ -192,8 +196,8 @@
 def test_second_move_of_a_slice_is_told_of_the_first() -> None:
     """Two moves of one slice: the first goes on."""
     state = make_state()
-    append(state, OwnerWished(SLICE, 'b', 'c1'))
-    outcome = append(state, OwnerWished(SLICE, 'c', 'c2'))
+    append(state, OwnerRequested(SLICE, 'b', 'c1'))
+    outcome = append(state, OwnerRequested(SLICE, 'c', 'c2'))
     assert outcome == [Rejected(RejectReason.CONFLICT, 'c1')]
 
 
@@ -201,6 +205,6 @@
     """A caller cannot grow the map by heating many keys."""
     state = make_state()
     for number in range(MAX_HOT_KEYS_PER_SERVICE):
-        append(state, Carved('casebook', f'k{number}'))
-    outcome = append(state, Carved('casebook', 'one more'))
+        append(state, HotKeySplit('casebook', f'k{number}'))
+    outcome = append(state, HotKeySplit('casebook', 'one more'))
     assert _reason(outcome[0]) is RejectReason.HOT_LIST_FULL
--- a/tests/ownership/test_machine.py
+++ b/tests/ownership/test_machine.py
@@ -11,10 +11,10 @@
 )
 
 from plantaingrade.journal.entity import (
-    Carved,
+    HotKeyMerged,
+    HotKeySplit,
     MemberState,
-    Merged,
-    OwnerWished,
+    OwnerRequested,
     StateSet,
 )
 from plantaingrade.journal.keys import hot_slice_id
@@ -109,7 +109,7 @@
     @rule(author=numbers, goal=numbers, index=st.integers(0, 2))
     def wish_move(self, author: int, goal: int, index: int) -> None:
         """Command a move, perhaps against one that is under way."""
-        wish = OwnerWished(
+        wish = OwnerRequested(
             f'{SERVICE}/{index}',
             self._newest(goal).name,
             f'c{author}',
@@ -120,13 +120,13 @@
     def move_hot_key(self, author: int, key: str, goal: int) -> None:
         """Give a key an assignment of its own and move it."""
         slice_id = hot_slice_id(SERVICE, key)
-        wish = OwnerWished(slice_id, self._newest(goal).name, 'hot')
-        self._append(author, Carved(SERVICE, key), wish)
+        wish = OwnerRequested(slice_id, self._newest(goal).name, 'hot')
+        self._append(author, HotKeySplit(SERVICE, key), wish)
 
     @rule(author=numbers, key=st.sampled_from(HOT_KEYS))
     def merge_hot_key(self, author: int, key: str) -> None:
         """Return a cooled key to its range."""
-        self._append(author, Merged(hot_slice_id(SERVICE, key)))
+        self._append(author, HotKeyMerged(hot_slice_id(SERVICE, key)))
 
     @rule(author=numbers, goal=numbers, drain=st.booleans())
     def drain_or_resume(self, author: int, goal: int, drain: bool) -> None:
--- a/tests/ownership/test_table.py
+++ b/tests/ownership/test_table.py
@@ -1,21 +1,21 @@
 """Steps a process takes ahead of the journal."""
 
 from plantaingrade.journal.entity import (
-    Announced,
     Applied,
     Assigned,
-    Carved,
-    Declared,
+    DeclarationApplied,
+    HotKeyMerged,
+    HotKeySplit,
     MapState,
+    MemberJoined,
     MemberRow,
     MemberState,
-    Merged,
     Record,
-    Renounced,
     ServiceRow,
     SuccessorNamed,
-    SuccessorWished,
-    Took,
+    SuccessorRequested,
+    SuccessorWithdrawn,
+    TakenOver,
 )
 from plantaingrade.journal.keys import find_slice, hot_slice_id
 from plantaingrade.journal.rules import apply_record
@@ -35,7 +35,10 @@
 def make_state() -> MapState:
     """Return one slice owned by ``a``, with successor ``b``; ``c`` is idle."""
     state = MapState()
-    append(state, Declared('', 0, (ServiceRow('casebook', 1, True, 400),)))
+    append(
+        state,
+        DeclarationApplied('', 0, (ServiceRow('casebook', 1, True, 400),)),
+    )
     for name in ('a', 'b', 'c'):
         row = MemberRow(
             name,
@@ -49,7 +52,7 @@
             True,
             state=MemberState.READY,
         )
-        append(state, Announced(row))
+        append(state, MemberJoined(row))
     append(state, Assigned(SLICE, 'a'))
     append(state, SuccessorNamed(SLICE, 'b'))
     return state
@@ -58,7 +61,7 @@
 def renounce(state: MapState, slice_id: str, member: str) -> list[object]:
     """Let a successor stand back from its present naming."""
     fence = state.slices[slice_id].successor_fence
-    return append(state, Renounced(slice_id, member, fence))
+    return append(state, SuccessorWithdrawn(slice_id, member, fence))
 
 
 def test_late_renunciation_does_not_cancel_a_newer_naming() -> None:
@@ -68,10 +71,10 @@
     was named anew and had taken the slice over.
     """
     state = make_state()
-    append(state, SuccessorWished(SLICE, 'c'))
-    first = Renounced(SLICE, 'b', state.slices[SLICE].successor_fence)
+    append(state, SuccessorRequested(SLICE, 'c'))
+    first = SuccessorWithdrawn(SLICE, 'b', state.slices[SLICE].successor_fence)
     assert append(state, first) == [Applied()]
-    append(state, SuccessorWished(SLICE, 'b'))
+    append(state, SuccessorRequested(SLICE, 'b'))
     renounce(state, SLICE, 'c')
     assert state.slices[SLICE].successor == 'b'
     assert append(state, first) != [Applied()]
@@ -85,7 +88,7 @@
     it owner beside the newly named successor.
     """
     state = make_state()
-    append(state, SuccessorWished(SLICE, 'c'))
+    append(state, SuccessorRequested(SLICE, 'c'))
     table = OwnershipTable('b')
     assert table.renounce(state.slices[SLICE])
     assert not table.take(state.slices[SLICE])
@@ -103,11 +106,11 @@
 def test_renouncing_once_does_not_bind_for_ever() -> None:
     """A member that stood back can be named again later."""
     state = make_state()
-    append(state, SuccessorWished(SLICE, 'c'))
+    append(state, SuccessorRequested(SLICE, 'c'))
     table = OwnershipTable('b')
     table.renounce(state.slices[SLICE])
     renounce(state, SLICE, 'b')
-    append(state, SuccessorWished(SLICE, 'b'))
+    append(state, SuccessorRequested(SLICE, 'b'))
     renounce(state, SLICE, 'c')
     table.settle(state)
     assert table.take(state.slices[SLICE])
@@ -140,7 +143,7 @@
     state = make_state()
     table = OwnershipTable('a')
     table.release(state.slices[SLICE])
-    append(state, Carved('casebook', KEY))
+    append(state, HotKeySplit('casebook', KEY))
     hot = find_slice(state, 'casebook', KEY)
     assert hot.slice_id == HOT
     assert hot.owner == 'a'
@@ -153,7 +156,7 @@
     part = state.slices[SLICE]
     table = OwnershipTable('b')
     table.take(part)
-    append(state, Took(SLICE, 'b', part.successor_fence))
+    append(state, TakenOver(SLICE, 'b', part.successor_fence))
     table.settle(state)
     assert not table.taken
     assert table.fence(state, state.slices[SLICE]) is not None
@@ -162,15 +165,15 @@
 def test_merge_waits_for_a_newer_fence() -> None:
     """A cooled key goes back to its range only when no fence falls."""
     state = make_state()
-    append(state, Carved('casebook', KEY))
-    assert append(state, Merged(HOT)) == [Applied()]
+    append(state, HotKeySplit('casebook', KEY))
+    assert append(state, HotKeyMerged(HOT)) == [Applied()]
     assert HOT not in state.slices
 
 
 def test_merge_of_parts_with_different_successors_is_refused() -> None:
     """Two successors would take the key over when the owner dies."""
     state = make_state()
-    append(state, Carved('casebook', KEY))
-    append(state, SuccessorWished(HOT, 'c'))
+    append(state, HotKeySplit('casebook', KEY))
+    append(state, SuccessorRequested(HOT, 'c'))
     renounce(state, HOT, 'b')
-    assert append(state, Merged(HOT)) != [Applied()]
+    assert append(state, HotKeyMerged(HOT)) != [Applied()]
--- a/tests/ownership/test_takeover.py
+++ b/tests/ownership/test_takeover.py
@@ -3,16 +3,16 @@
 import pytest
 
 from plantaingrade.journal.entity import (
-    Carved,
     Ended,
+    HotKeySplit,
     MemberState,
-    Moving,
-    OwnerWished,
+    MoveStarted,
+    OwnerRequested,
     Proof,
-    Renounced,
     StateSet,
     SuccessorNamed,
-    Witnessed,
+    SuccessorWithdrawn,
+    WitnessesReplaced,
 )
 from plantaingrade.journal.keys import hot_slice_id, slice_index
 from plantaingrade.leases.const import LEASE_S
@@ -223,7 +223,7 @@
         for member in cluster.members
         if member.name not in {part.owner, part.successor}
     )
-    owner.append(OwnerWished(SLICE, target.name, 'c1'))
+    owner.append(OwnerRequested(SLICE, target.name, 'c1'))
     cluster.until(lambda: cluster.owner_of(SLICE) is target, 2)
 
 
@@ -246,7 +246,7 @@
         for member in cluster.members
         if member.name not in {part.owner, part.successor}
     )
-    owner.append(OwnerWished(SLICE, target.name, 'c1'))
+    owner.append(OwnerRequested(SLICE, target.name, 'c1'))
     cluster.run(after_s)
     victims = {'owner': owner, 'successor': successor, 'target': target}
     victims[victim].dead = True
@@ -283,7 +283,7 @@
     work.begin(SLICE)
     deadline = owner.clock.now() + 1
     work.end(SLICE, may_run_until=deadline)
-    owner.append(Moving(SLICE, 'c1'))
+    owner.append(MoveStarted(SLICE, 'c1'))
     cluster.until(lambda: _moved_from(cluster, owner), 3)
     assert owner.clock.now() >= deadline
 
@@ -319,13 +319,13 @@
     state machine: the process stopped there.)
     """
     owner = _owner(cluster)
-    owner.append(Moving(SLICE, 'c1'))
+    owner.append(MoveStarted(SLICE, 'c1'))
     key = next(
         str(number)
         for number in range(100)
         if slice_index(str(number), len(owner.state.slices)) == 0
     )
-    owner.append(Carved(SERVICE, key))
+    owner.append(HotKeySplit(SERVICE, key))
     cluster.run(2)
     assert hot_slice_id(SERVICE, key) not in owner.state.slices
 
@@ -348,10 +348,10 @@
     """
     owner = _owner(cluster)
     epoch = owner.row.epoch
-    owner.append(Witnessed(owner.name, owner.row.witnesses, epoch + 1))
+    owner.append(WitnessesReplaced(owner.name, owner.row.witnesses, epoch + 1))
     part = owner.state.slices[SLICE]
     successor = cluster.named(part.successor)
-    renounced = Renounced(SLICE, successor.name, part.successor_fence)
+    renounced = SuccessorWithdrawn(SLICE, successor.name, part.successor_fence)
     successor.append(renounced)
     successor.append(SuccessorNamed(SLICE, successor.name))
     _prove(successor, owner.name, epoch)
@@ -369,7 +369,7 @@
     owner = _owner(cluster)
     epoch = owner.row.epoch
     successor = cluster.named(owner.state.slices[SLICE].successor)
-    owner.append(Witnessed(owner.name, owner.row.witnesses, epoch + 1))
+    owner.append(WitnessesReplaced(owner.name, owner.row.witnesses, epoch + 1))
     successor.catch_up()
     _prove(successor, owner.name, epoch)
     assert SLICE in successor.ownership.table.taken
@@ -475,10 +475,10 @@
     cluster = FakeCluster.from_size(6, checks_fence=False)
     owner = _owner(cluster)
     epoch = owner.row.epoch
-    owner.append(Witnessed(owner.name, owner.row.witnesses, epoch + 1))
+    owner.append(WitnessesReplaced(owner.name, owner.row.witnesses, epoch + 1))
     part = owner.state.slices[SLICE]
     heir = cluster.named(part.successor)
-    heir.append(Renounced(SLICE, heir.name, part.successor_fence))
+    heir.append(SuccessorWithdrawn(SLICE, heir.name, part.successor_fence))
     heir.append(SuccessorNamed(SLICE, heir.name))
     _prove(heir, owner.name, epoch)
     assert SLICE not in heir.ownership.table.taken
--- a/tests/placement/test_policy.py
+++ b/tests/placement/test_policy.py
@@ -7,19 +7,19 @@
 from hypothesis import strategies as st
 
 from plantaingrade.journal.entity import (
-    Announced,
-    Declared,
+    DeclarationApplied,
     Ended,
     MapState,
+    MemberJoined,
     MemberRow,
     MemberState,
-    Moving,
-    OwnerWished,
+    MoveStarted,
+    OwnerRequested,
     Proof,
-    Renounced,
     ServiceRow,
     StateSet,
-    Took,
+    SuccessorWithdrawn,
+    TakenOver,
 )
 from plantaingrade.placement.const import MAX_MOVES_IN_PROGRESS
 from plantaingrade.placement.loads import LoadHeaps
@@ -48,9 +48,9 @@
 def _settled(servers: int = 6, slices: int = 24) -> MapState:
     state = MapState()
     service = ServiceRow(SERVICE, slices, True, 400)
-    append(state, Declared('', 0, (service,)))
+    append(state, DeclarationApplied('', 0, (service,)))
     for number in range(servers):
-        append(state, Announced(_row(f's{number}', f'z{number % ZONES}')))
+        append(state, MemberJoined(_row(f's{number}', f'z{number % ZONES}')))
     _settle(state)
     return state
 
@@ -73,9 +73,9 @@
     for part in list(state.slices.values()):
         place = (part.slice_id, part.successor, part.successor_fence)
         if part.next_successor is not None:
-            append(state, Renounced(*place))
+            append(state, SuccessorWithdrawn(*place))
         elif part.moving is not None:
-            append(state, Took(*place))
+            append(state, TakenOver(*place))
             takes += 1
     return takes
 
@@ -103,9 +103,11 @@
 def test_slots_count() -> None:
     """A server with twice the slots owns twice as much."""
     state = MapState()
-    append(state, Declared('', 0, (ServiceRow(SERVICE, 24, True, 400),)))
-    append(state, Announced(_row('small', 'z0', 6)))
-    append(state, Announced(_row('large', 'z1', 12)))
+    append(
+        state, DeclarationApplied('', 0, (ServiceRow(SERVICE, 24, True, 400),))
+    )
+    append(state, MemberJoined(_row('small', 'z0', 6)))
+    append(state, MemberJoined(_row('large', 'z1', 12)))
     _settle(state)
     assert _owned(state) == {'small': 8, 'large': 16}
 
@@ -113,7 +115,7 @@
 def test_newcomer_gets_its_share_in_few_moves() -> None:
     """A server joins: it gets a fair share, and no slice moves twice."""
     state = _settled()
-    append(state, Announced(_row('new', 'z0')))
+    append(state, MemberJoined(_row('new', 'z0')))
     takes = _settle(state)
     assert _owned(state)['new'] >= 2
     assert takes <= 4
@@ -122,8 +124,8 @@
 def test_moves_in_progress_are_bounded() -> None:
     """A newcomer does not set half the service in motion at once."""
     state = _settled(2, 48)
-    append(state, Announced(_row('new', 'z2')))
-    moves = [each for each in plan(state) if isinstance(each, OwnerWished)]
+    append(state, MemberJoined(_row('new', 'z2')))
+    moves = [each for each in plan(state) if isinstance(each, OwnerRequested)]
     assert 1 <= len(moves) <= MAX_MOVES_IN_PROGRESS
 
 
@@ -146,7 +148,7 @@
         if part.owner in lost and part.successor is not None:
             append(
                 state,
-                Took(part.slice_id, part.successor, part.successor_fence),
+                TakenOver(part.slice_id, part.successor, part.successor_fence),
             )
     fair = 24 / (6 - len(lost))
     assert max(_owned(state).values()) <= fair + 2
@@ -158,8 +160,8 @@
     """An operator's move goes on though it makes the service less even."""
     state = _settled()
     part = next(part for part in state.slices.values() if part.owner == 's0')
-    append(state, OwnerWished(part.slice_id, part.successor, 'c1'))
-    assert Moving(part.slice_id, 'c1') in plan(state)
+    append(state, OwnerRequested(part.slice_id, part.successor, 'c1'))
+    assert MoveStarted(part.slice_id, 'c1') in plan(state)
 
 
 def test_own_successors_are_spread() -> None:
