--- a/plantaingrade/journal/__init__.py
+++ b/plantaingrade/journal/__init__.py
@@ -1,1 +1,1 @@
-"""Ordered journal of every change to membership, ownership and settings."""
+"""Journal: the ordered log of all changes to members, owners and settings."""
--- a/plantaingrade/journal/coordinator.py
+++ b/plantaingrade/journal/coordinator.py
@@ -1,4 +1,4 @@
-"""Append to the journal in the table service and follow what others append."""
+"""Append records to the journal in the table service and apply new ones."""
 
 import asyncio
 import random
@@ -24,12 +24,12 @@
 from plantaingrade.codec import Codec
 from plantaingrade.errors import PlantaingradeError
 from plantaingrade.journal.const import (
-    POLL_SPREAD,
-    PULL_LIMIT,
+    MAX_RECENT_RECORDS,
+    MAX_WRITE_ATTEMPTS,
+    POLL_JITTER,
     RETRY_BASE_S,
-    SNAPSHOT_EVERY,
-    TABLE_POLL_S,
-    WRITE_ATTEMPTS,
+    SNAPSHOT_INTERVAL,
+    TABLE_POLL_INTERVAL_S,
 )
 from plantaingrade.journal.entity import (
     Change,
@@ -46,13 +46,13 @@
 
 
 class JournalUnavailableError(PlantaingradeError):
-    """Report that a record could not be appended now."""
+    """Raised if a record could not be appended."""
 
     advice = 'The table service does not answer; try again in a few seconds.'
 
 
 class JournalCoordinator:
-    """Keep this process's copy of the map up to date."""
+    """Keeps the local copy of the map up to date with the journal."""
 
     __slots__ = (
         '_author',
@@ -73,7 +73,7 @@
         store: ObjectClient,
         author: str,
     ) -> None:
-        """Start from an empty map."""
+        """Start with an empty map."""
         self.state = MapState()
         self._table = table
         self._store = store
@@ -83,17 +83,17 @@
         self._listeners: list[RecordListener] = []
         self._snapshot_generation = 0
         self._outcomes_by_write: dict[str, list[ChangeOutcome]] = {}
-        self._recent: deque[Record] = deque(maxlen=PULL_LIMIT)
+        self._recent: deque[Record] = deque(maxlen=MAX_RECENT_RECORDS)
 
     def add_listener(self, listener: RecordListener) -> None:
-        """Call a listener after each record, before the next is applied."""
+        """Call the listener after each record, before the next is applied."""
         self._listeners.append(listener)
 
     async def async_load(self) -> None:
-        """Read the newest snapshot and all records after it.
+        """Load the newest snapshot and apply all records after it.
 
         Raises:
-            PlatformUnavailableError: the platform does not answer.
+            PlatformUnavailableError: the platform does not respond.
         """
         pointer = await self._table.async_get(PARTITION_SNAPSHOT, 0)
         if pointer is not None and int(pointer.body) > self.state.generation:
@@ -101,62 +101,66 @@
         await self.async_catch_up()
 
     async def _load_snapshot(self, name: str) -> None:
-        """Start from a snapshot; without the object store, from record 1."""
+        """Load a snapshot; without the object store, start from record 1."""
         try:
             raw = await self._store.async_get(f'map/{name}')
         except PlatformUnavailableError:
-            logging.warning('Object store is unavailable; reading all records')
+            logging.warning(
+                'Object store is unavailable; reading all journal records'
+            )
             return
         if raw is not None:
             self.replace(STATE_CODEC.decode(raw))
 
     async def async_catch_up(self) -> None:
-        """Apply the records that the table holds beyond this copy.
+        """Read and apply the records that this copy lacks.
 
         Raises:
-            PlatformUnavailableError: the table service does not answer.
+            PlatformUnavailableError: the table service does not respond.
         """
         while True:
             known = self.state.generation
             rows = await self._table.async_query(PARTITION_JOURNAL, known)
-            self._note_available(available=True)
+            self._set_available(available=True)
             self.on_records([RECORD_CODEC.decode(row.body) for row in rows])
             if self.state.generation == known:
                 return
 
     async def async_follow(self) -> None:
-        """Look into the table now and then, in case gossip misses a record."""
+        """Poll the table periodically, in case gossip misses a record."""
         while True:
-            await asyncio.sleep(TABLE_POLL_S * random.uniform(*POLL_SPREAD))
+            await asyncio.sleep(
+                TABLE_POLL_INTERVAL_S * random.uniform(*POLL_JITTER)
+            )
             try:
                 await self.async_catch_up()
             except PlatformUnavailableError:
-                self._note_available(available=False)
+                self._set_available(available=False)
 
     async def async_append(self, *changes: Change) -> list[ChangeOutcome]:
         """Append one record and return the outcome of each change.
 
         Raises:
-            JournalUnavailableError: the record was not appended, or nobody
-                can tell now; every change is safe to append again.
+            JournalUnavailableError: the record was not appended, or this is
+                unknown; every change can safely be appended again.
         """
         async with self._lock:
             write_id = uuid.uuid4().hex
-            for attempt in range(WRITE_ATTEMPTS):
+            for attempt in range(MAX_WRITE_ATTEMPTS):
                 outcomes = await self._try_append(write_id, changes)
                 if outcomes is not None:
                     return outcomes
                 await asyncio.sleep(RETRY_BASE_S * attempt * random.random())
-            raise JournalUnavailableError('Too many others are writing.')
+            raise JournalUnavailableError('Too many concurrent writers.')
 
     def on_records(self, records: list[Record]) -> None:
-        """Apply records that follow this copy without a gap."""
+        """Apply the records that follow this copy without a gap."""
         for record in records:
             if record.generation == self.state.generation + 1:
                 self._apply(record)
 
     def replace(self, state: MapState) -> None:
-        """Take over a whole map if it is newer than this copy."""
+        """Replace the map by another one if that is newer."""
         if state.generation <= self.state.generation:
             return
         self.state = state
@@ -164,7 +168,7 @@
         self._notify(Record(state.generation, '', '', ()), [])
 
     def records_after(self, generation: int) -> list[Record] | None:
-        """Return recent records, or nothing if they no longer reach back."""
+        """Return the later records, or None if they are no longer kept."""
         if generation >= self.state.generation:
             return []
         if not self._recent or self._recent[0].generation > generation + 1:
@@ -174,18 +178,18 @@
         ]
 
     async def async_snapshot(self) -> None:
-        """Write a snapshot when enough records have come since the last.
+        """Write a snapshot if enough records were applied since the last.
 
         Raises:
-            PlatformUnavailableError: the platform does not answer.
+            PlatformUnavailableError: the platform does not respond.
         """
         generation = self.state.generation
-        if generation < self._snapshot_generation + SNAPSHOT_EVERY:
+        if generation < self._snapshot_generation + SNAPSHOT_INTERVAL:
             return
         pointer = await self._table.async_get(PARTITION_SNAPSHOT, 0)
         if pointer is not None:
             self._snapshot_generation = int(pointer.body)
-        if generation < self._snapshot_generation + SNAPSHOT_EVERY:
+        if generation < self._snapshot_generation + SNAPSHOT_INTERVAL:
             return
         raw = STATE_CODEC.encode(self.state)
         await self._store.async_put(f'map/{generation}', raw)
@@ -207,9 +211,11 @@
         try:
             outcome = await self._write(row, write_id)
         except PlatformUnavailableError as error:
-            self._note_available(available=False)
-            raise JournalUnavailableError('Record not appended.') from error
-        self._note_available(available=True)
+            self._set_available(available=False)
+            raise JournalUnavailableError(
+                'The record was not appended.'
+            ) from error
+        self._set_available(available=True)
         match outcome:
             case Stored():
                 self.on_records([record])
@@ -221,19 +227,23 @@
         try:
             return await self._table.async_put_new(row)
         except PlatformOutcomeUnknownError as error:
-            # The write may have taken effect though its answer was lost, so the
-            # row is read back and compared by its write id.
+            # The write may have taken effect although its response was lost, so
+            # the row is read back and its write id compared.
             stored = await self._table.async_get(row.partition, row.sort)
             if stored is None:
-                raise PlatformUnavailableError('Write not seen.') from error
-            same = RECORD_CODEC.decode(stored.body).write_id == write_id
-            return Stored() if same else Conflicted()
+                raise PlatformUnavailableError(
+                    'The written row was not found.'
+                ) from error
+            is_own = RECORD_CODEC.decode(stored.body).write_id == write_id
+            return Stored() if is_own else Conflicted()
 
     async def _read_conflicting(self) -> None:
         try:
             await self.async_catch_up()
         except PlatformUnavailableError as error:
-            raise JournalUnavailableError('Journal not read.') from error
+            raise JournalUnavailableError(
+                'The journal could not be read.'
+            ) from error
 
     def _apply(self, record: Record) -> None:
         outcomes = apply_record(self.state, record)
@@ -246,11 +256,13 @@
         for listener in list(self._listeners):
             listener(record, outcomes)
 
-    def _note_available(self, *, available: bool) -> None:
+    def _set_available(self, *, available: bool) -> None:
         if available is self._available:
             return
         self._available = available
         if available:
-            logging.info('Table service is back')
+            logging.info('Table service is available again')
         else:
-            logging.warning('Table service is unavailable; ownership goes on')
+            logging.warning(
+                'Table service is unavailable; owners keep their slices'
+            )
--- a/plantaingrade/journal/entity.py
+++ b/plantaingrade/journal/entity.py
@@ -1,4 +1,4 @@
-"""Rows of the map and the changes that the journal records."""
+"""Rows of the map and the changes recorded in the journal."""
 
 from enum import StrEnum
 
@@ -8,7 +8,7 @@
 
 
 class MemberState(StrEnum):
-    """Stage in the life of one incarnation of a process."""
+    """Lifecycle state of one incarnation of a process."""
 
     STARTING = 'starting'
     READY = 'ready'
@@ -18,7 +18,7 @@
 
 
 class Proof(StrEnum):
-    """Evidence that an incarnation holds no lease any more."""
+    """Evidence that an incarnation no longer holds a lease."""
 
     TESTIMONY = 'testimony'
     RESTART = 'restart'
@@ -26,7 +26,7 @@
 
 
 class RejectReason(StrEnum):
-    """Reason for which a change has no effect."""
+    """Reason why a change was rejected."""
 
     UNKNOWN_MEMBER = 'unknown member'
     UNKNOWN_SLICE = 'unknown slice'
@@ -44,10 +44,10 @@
 
 
 class MemberRow(Struct):
-    """One incarnation of a process beside a backend server.
+    """One incarnation of a process and the backend server it serves.
 
-    ``epoch`` counts the changes of its witnesses; ``epoch_at`` is the
-    generation of the last one.
+    ``epoch`` is incremented whenever its witnesses are replaced; ``epoch_at``
+    is the journal generation of the last replacement.
     """
 
     member: str
@@ -67,7 +67,7 @@
 
 
 class SliceRow(Struct):
-    """Ownership of one range of the hash space, or of one hot key."""
+    """Ownership of one range of the hash space or of one hot key."""
 
     slice_id: str
     service: str
@@ -82,7 +82,7 @@
 
 
 class CommandRow(Struct):
-    """Operator command that took effect."""
+    """Operator command that was accepted."""
 
     command_id: str
     operator: str
@@ -106,7 +106,7 @@
 
 
 class MapState(Struct):
-    """Everything that replaying the journal yields."""
+    """State that results from replaying the journal."""
 
     generation: int = 0
     members: dict[str, MemberRow] = field(default_factory=dict)
@@ -118,13 +118,13 @@
 
 
 class MemberJoined(Message, tag='Announced'):
-    """A process joins."""
+    """A process joined as a member."""
 
     row: MemberRow
 
 
 class StateSet(Message):
-    """A process drains, retires or becomes ready."""
+    """The state of a member was set, if it was the expected one."""
 
     member: str
     state: MemberState
@@ -132,7 +132,7 @@
 
 
 class WitnessesReplaced(Message, tag='Witnessed'):
-    """A process replaces the witnesses of its own lease."""
+    """A process replaced the witnesses of its own lease."""
 
     member: str
     witnesses: tuple[str, ...]
@@ -140,28 +140,28 @@
 
 
 class Assigned(Message):
-    """A slice without owner gets one."""
+    """A slice without an owner was assigned one."""
 
     slice_id: str
     member: str
 
 
 class SuccessorNamed(Message):
-    """A slice without successor gets one."""
+    """A slice without a successor was assigned one."""
 
     slice_id: str
     member: str
 
 
 class SuccessorRequested(Message, tag='SuccessorWished'):
-    """The named successor is asked to stand back for another."""
+    """The named successor is asked to withdraw in favor of another."""
 
     slice_id: str
     member: str
 
 
 class OwnerRequested(Message, tag='OwnerWished'):
-    """An operator or the placement wants another owner for the slice."""
+    """An operator or the placement requested another owner of a slice."""
 
     slice_id: str
     member: str
@@ -169,9 +169,9 @@
 
 
 class SuccessorWithdrawn(Message, tag='Renounced'):
-    """The named successor stands back; only it may write this.
+    """The named successor withdrew; only it may write this.
 
-    The fence tells which naming it stands back from.
+    The fence identifies the naming that it withdraws from.
     """
 
     slice_id: str
@@ -180,14 +180,14 @@
 
 
 class MoveStarted(Message, tag='Moving'):
-    """The owner is asked to release the slice to its successor."""
+    """The owner is asked to release the slice to the successor."""
 
     slice_id: str
     command_id: str
 
 
 class TakenOver(Message, tag='Took'):
-    """The named successor owns the slice now; only it may write this."""
+    """The named successor became the owner; only it may write this."""
 
     slice_id: str
     member: str
@@ -195,7 +195,7 @@
 
 
 class Ended(Message):
-    """An incarnation holds no lease and never will again."""
+    """An incarnation holds no lease and will never acquire one again."""
 
     member: str
     proof: Proof
@@ -203,20 +203,20 @@
 
 
 class HotKeySplit(Message, tag='Carved'):
-    """A hot key gets an assignment of its own."""
+    """A hot key was split off its slice to be assigned separately."""
 
     service: str
     key: str
 
 
 class HotKeyMerged(Message, tag='Merged'):
-    """A hot key returns to its slice."""
+    """A hot key was merged back into its slice."""
 
     slice_id: str
 
 
 class DeclarationApplied(Message, tag='Declared'):
-    """A declarations document comes into force."""
+    """A declarations document took effect."""
 
     text: str
     based_on: int
@@ -224,7 +224,7 @@
 
 
 class CommandAccepted(Message, tag='Commanded'):
-    """An operator command is accepted."""
+    """An operator command was accepted."""
 
     command_id: str
     operator: str
@@ -253,7 +253,7 @@
 
 
 class Record(Struct, frozen=True):
-    """Changes written together at one generation."""
+    """Changes appended together; each record is one generation."""
 
     generation: int
     write_id: str
--- a/plantaingrade/journal/keys.py
+++ b/plantaingrade/journal/keys.py
@@ -2,7 +2,11 @@
 
 from hashlib import blake2b
 
-from plantaingrade.journal.const import HASH_BITS, HOT_PREFIX, KEY_DIGEST_BYTES
+from plantaingrade.journal.const import (
+    HASH_BITS,
+    HOT_KEY_PREFIX,
+    KEY_DIGEST_BYTES,
+)
 from plantaingrade.journal.entity import MapState, SliceRow
 
 
@@ -13,27 +17,27 @@
 
 
 def slice_index(key: str, count: int) -> int:
-    """Return which of ``count`` equal ranges holds the key."""
+    """Return the index of the one of ``count`` equal ranges with the key."""
     return (hash_key(key) * count) >> HASH_BITS
 
 
 def range_slice_id(service: str, index: int) -> str:
-    """Return the id of a range of the hash space."""
+    """Return the slice id of a range of the hash space."""
     return f'{service}/{index}'
 
 
 def hot_slice_id(service: str, key: str) -> str:
-    """Return the id of a hot key's own assignment."""
-    return f'{service}/{HOT_PREFIX}{key}'
+    """Return the slice id of a hot key."""
+    return f'{service}/{HOT_KEY_PREFIX}{key}'
 
 
 def is_hot(slice_id: str) -> bool:
-    """Tell whether an id names a hot key."""
-    return f'/{HOT_PREFIX}' in slice_id
+    """Return whether a slice id is that of a hot key."""
+    return f'/{HOT_KEY_PREFIX}' in slice_id
 
 
 def find_slice(state: MapState, service: str, key: str) -> SliceRow | None:
-    """Return the row that decides a key's ownership."""
+    """Return the row of the hot key or range that determines the owner."""
     row = state.services.get(service)
     if row is None:
         return None
@@ -45,7 +49,7 @@
 
 
 def parent_slice_id(state: MapState, hot_id: str) -> str:
-    """Return the id of the range that a hot key lies in."""
-    service, key = hot_id.split(f'/{HOT_PREFIX}', 1)
+    """Return the slice id of the range that contains a hot key."""
+    service, key = hot_id.split(f'/{HOT_KEY_PREFIX}', 1)
     index = slice_index(key, state.services[service].slices)
     return range_slice_id(service, index)
--- a/plantaingrade/journal/rules.py
+++ b/plantaingrade/journal/rules.py
@@ -1,14 +1,14 @@
 """Apply journal records to the map.
 
-Every process applies the same records in the same order, so every rule here
-depends on nothing but the map and the record. A change that no longer fits is
-rejected the same way everywhere and has no effect.
+Every process applies the same records in the same order, so the rules depend
+only on the map and the record. A change that no longer fits the map is rejected
+by every process alike and has no effect.
 """
 
 from msgspec.structs import replace
 
 from plantaingrade.journal.checks import APPLIED, STALE
-from plantaingrade.journal.const import MAX_REMEMBERED_COMMANDS
+from plantaingrade.journal.const import MAX_STORED_COMMANDS
 from plantaingrade.journal.entity import (
     Change,
     ChangeOutcome,
@@ -30,14 +30,14 @@
     WitnessesReplaced,
 )
 from plantaingrade.journal.keys import range_slice_id
-from plantaingrade.journal.slice_rules import carve, change_slice
+from plantaingrade.journal.slice_rules import change_slice, split_hot_key
 
 
 def apply_record(state: MapState, record: Record) -> list[ChangeOutcome]:
     """Apply one record and return an outcome for each of its changes.
 
-    A rejected command takes the rest of its record with it, so that a command
-    and its effects happen together or not at all.
+    After a rejected command the rest of its record is rejected too, so that a
+    command and its effects are applied together or not at all.
     """
     state.generation = record.generation
     outcomes: list[ChangeOutcome] = []
@@ -50,7 +50,7 @@
             rest = record.changes[len(outcomes) :]
             outcomes.extend(outcome for _ in rest)
             break
-    forget_ended(state)
+    remove_ended_members(state)
     return outcomes
 
 
@@ -66,7 +66,7 @@
         case CommandAccepted():
             return _command(state, change)
         case HotKeySplit():
-            return carve(state, change)
+            return split_hot_key(state, change)
     return change_slice(state, change)
 
 
@@ -80,9 +80,9 @@
         for other in state.members.values()
         if other.server == row.server and other.state is not MemberState.OVER
     ]
-    # Two processes may have one server id by a mistyped setting. A listening
-    # port belongs to one process at a time, so only a newcomer at the very same
-    # address proves that its predecessor is gone.
+    # A mistyped setting can give two processes the same server id. Only one
+    # process at a time can listen on a port, so only a new member at the same
+    # address proves that its predecessor has stopped.
     if any(other.http != row.http for other in earlier):
         return Rejected(RejectReason.SERVER_IN_USE)
     for other in earlier:
@@ -109,7 +109,8 @@
             row.epoch = epoch
             row.epoch_at = state.generation
         case Ended(proof=proof, epoch=epoch):
-            # Testimony counts for its epoch: former witnesses may tell late.
+            # Testimony is valid for its epoch only: that of former witnesses
+            # may arrive late.
             if proof is Proof.TESTIMONY and epoch != row.epoch:
                 return STALE
             _end(state, row, proof)
@@ -128,19 +129,19 @@
 def _end(state: MapState, row: MemberRow, proof: Proof) -> None:
     row.state = MemberState.OVER
     row.proof = proof
-    for part in state.slices.values():
-        if part.next_successor == row.member:
-            part.next_successor = None
-        if part.wanted_owner == row.member:
-            part.wanted_owner = None
-        if part.successor == row.member:
-            part.successor = None
-            part.next_successor = None
-            part.moving = None
-
-
-def forget_ended(state: MapState) -> None:
-    """Drop ended members that no slice names as owner any more."""
+    for slice_row in state.slices.values():
+        if slice_row.next_successor == row.member:
+            slice_row.next_successor = None
+        if slice_row.wanted_owner == row.member:
+            slice_row.wanted_owner = None
+        if slice_row.successor == row.member:
+            slice_row.successor = None
+            slice_row.next_successor = None
+            slice_row.moving = None
+
+
+def remove_ended_members(state: MapState) -> None:
+    """Remove ended members that no longer own a slice."""
     ended = [
         member
         for member, row in state.members.items()
@@ -148,7 +149,7 @@
     ]
     if not ended:
         return
-    owners = {part.owner for part in state.slices.values()}
+    owners = {slice_row.owner for slice_row in state.slices.values()}
     for member in ended:
         if member not in owners:
             state.members.pop(member)
@@ -160,7 +161,7 @@
     for service in change.services:
         known = state.services.get(service.name)
         # The number of ranges is fixed once keys have owners: another number
-        # would hand each key to another slice in one step.
+        # would move each key to another slice in one step.
         slices = service.slices if known is None else known.slices
         state.services[service.name] = replace(service, slices=slices)
         _create_slices(state, service.name, slices)
@@ -181,9 +182,9 @@
     for name in set(state.services) - kept - used:
         state.services.pop(name)
         gone = [
-            part.slice_id
-            for part in state.slices.values()
-            if part.service == name
+            slice_row.slice_id
+            for slice_row in state.slices.values()
+            if slice_row.service == name
         ]
         for slice_id in gone:
             state.slices.pop(slice_id)
@@ -193,7 +194,7 @@
     known = state.commands.get(change.command_id)
     if known is not None:
         return Rejected(RejectReason.DUPLICATE, known.command_id)
-    winner = _conflicting(state, change)
+    winner = _find_conflicting(state, change)
     if winner is not None:
         return Rejected(RejectReason.CONFLICT, winner)
     state.commands[change.command_id] = CommandRow(
@@ -203,14 +204,14 @@
         change.target,
         state.generation,
     )
-    if len(state.commands) > MAX_REMEMBERED_COMMANDS:
+    if len(state.commands) > MAX_STORED_COMMANDS:
         state.commands.pop(next(iter(state.commands)))
     return APPLIED
 
 
-def _conflicting(state: MapState, change: CommandAccepted) -> str | None:
-    # The journal orders commands of two operators; one made from an older
-    # generation than the last loses.
+def _find_conflicting(state: MapState, change: CommandAccepted) -> str | None:
+    # The journal orders the commands of two operators. A command that is based
+    # on a generation before the last command for its target is rejected.
     for known in reversed(state.commands.values()):
         if known.target == change.target:
             newer = known.generation > change.based_on
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -88,7 +88,7 @@
     Guard(
         'a renunciation is of one naming',
         'plantaingrade/journal/slice_rules.py',
-        'if part.successor_fence != change.fence:\n        return STALE\n'
+        'if slice_row.successor_fence != change.fence:\n        return STALE\n'
         '    wanted',
         'wanted',
         'tests/ownership/test_table.py',
--- a/tests/journal/__init__.py
+++ b/tests/journal/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of journal."""
+"""Tests of the journal."""
--- a/tests/journal/test_coordinator.py
+++ b/tests/journal/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Appending to the journal while the platform misbehaves."""
+"""Appends to the journal under faults of the table service."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -24,13 +24,13 @@
 
 
 class FakeTable:
-    """Rows in memory, with faults."""
+    """Table in memory with injected faults."""
 
     def __init__(self) -> None:
         """Start empty."""
         self.rows: dict[tuple[str, int], Row] = {}
         self.down = False
-        self.lose_next_answer = False
+        self.lose_next_response = False
         self.lose_next_write = False
         self.writes = 0
 
@@ -49,19 +49,19 @@
         ]
 
     async def async_put_new(self, row: Row) -> WriteOutcome:
-        """Write a row that must be new."""
+        """Write a row that must not exist."""
         self._check()
         self.writes += 1
         if self.lose_next_write:
             self.lose_next_write = False
-            raise PlatformOutcomeUnknownError('lost on the way there')
+            raise PlatformOutcomeUnknownError('request lost')
         place = (row.partition, row.sort)
         if place in self.rows:
             return Conflicted()
         self.rows[place] = row
-        if self.lose_next_answer:
-            self.lose_next_answer = False
-            raise PlatformOutcomeUnknownError('lost on the way back')
+        if self.lose_next_response:
+            self.lose_next_response = False
+            raise PlatformOutcomeUnknownError('response lost')
         return Stored()
 
     def _check(self) -> None:
@@ -81,13 +81,13 @@
     return DeclarationApplied(f'from {based_on}', based_on, SERVICES)
 
 
-def test_lost_answer_is_read_back_and_written_once() -> None:
-    """An assignment doubles: the write took effect, its answer was lost.
+def test_write_with_lost_response_is_read_back() -> None:
+    """A record is appended twice: the write succeeded, its response was lost.
 
-    The writer reads the row back, knows it by its write id, and goes on.
+    The writer reads the row back and recognizes it by its write id.
     """
     table = FakeTable()
-    table.lose_next_answer = True
+    table.lose_next_response = True
     journal = _journal(table)
     assert _run(journal.async_append(_declared())) == [Applied()]
     assert table.writes == 1
@@ -95,7 +95,7 @@
 
 
 def test_lost_write_is_reported_as_unavailable() -> None:
-    """The write never arrived; the author may append again."""
+    """A write never arrived; the author may append it again."""
     table = FakeTable()
     table.lose_next_write = True
     journal = _journal(table)
@@ -105,8 +105,8 @@
     assert len(table.rows) == 1
 
 
-def test_loser_of_a_race_reads_and_appends_after() -> None:
-    """Two processes append at once; both records stand, in one order."""
+def test_conflicting_append_is_retried_after_catch_up() -> None:
+    """One of two concurrent appends is lost or ordered differently."""
     table = FakeTable()
     first, second = _journal(table, 'a'), _journal(table, 'b')
     _run(first.async_append(_declared()))
@@ -117,8 +117,8 @@
     assert first.state == second.state
 
 
-def test_lost_answer_in_a_race_counts_for_the_right_author() -> None:
-    """Another's record stands where the lost one would: not ours."""
+def test_row_of_another_author_is_not_taken_for_own() -> None:
+    """A record of another author is taken for the own lost one."""
     table = FakeTable()
     first, second = _journal(table, 'a'), _journal(table, 'b')
     _run(first.async_append(_declared()))
@@ -128,8 +128,8 @@
     assert second.state.generation == 2
 
 
-def test_outage_changes_nothing_in_the_copy() -> None:
-    """The table service is down; the copy stays as it is and in use."""
+def test_outage_leaves_local_map_unchanged() -> None:
+    """The local map is changed or dropped while the table is down."""
     table = FakeTable()
     journal = _journal(table)
     _run(journal.async_append(_declared()))
@@ -142,7 +142,7 @@
 
 
 def test_records_with_a_gap_are_not_applied() -> None:
-    """Gossip hands over newer records while some between are missing."""
+    """Gossip delivers newer records while earlier ones are missing."""
     table = FakeTable()
     first, second = _journal(table, 'a'), _journal(table, 'b')
     _run(first.async_append(_declared()))
@@ -154,7 +154,7 @@
 
 
 def test_older_map_does_not_replace_a_newer_one() -> None:
-    """A lagging peer offers its whole map; nothing reverts."""
+    """A lagging peer sends its whole map, which reverts newer records."""
     table = FakeTable()
     first, second = _journal(table, 'a'), _journal(table, 'b')
     _run(first.async_append(_declared()))
--- a/tests/journal/test_rules.py
+++ b/tests/journal/test_rules.py
@@ -1,4 +1,4 @@
-"""The journal's rules: the same everywhere, and never backwards."""
+"""Rules by which journal records are applied to the map."""
 
 import pytest
 
@@ -45,8 +45,8 @@
     return outcome.reason if isinstance(outcome, Rejected) else None
 
 
-def test_restart_at_the_same_address_ends_the_predecessor() -> None:
-    """A process restarts before its lease has run out anywhere."""
+def test_restart_at_same_address_ends_predecessor() -> None:
+    """A process restarts before the lease of its predecessor expired."""
     state = make_state()
     outcome = append(state, MemberJoined(_row('a2', 'a', 'http-a')))
     assert outcome == [Applied()]
@@ -55,31 +55,31 @@
 
 
 def test_server_id_at_another_address_is_refused() -> None:
-    """A mistyped server id: two processes would displace each other."""
+    """Two processes with a mistyped server id displace each other."""
     state = make_state()
     outcome = append(state, MemberJoined(_row('a2', 'a', 'elsewhere')))
     assert _reason(outcome[0]) is RejectReason.SERVER_IN_USE
     assert state.members['a'].state is MemberState.READY
 
 
-def test_of_two_conflicting_commands_the_later_one_is_told() -> None:
-    """Two operators command one server at the same moment.
+def test_later_of_two_conflicting_commands_is_rejected() -> None:
+    """Two operators send commands for one server at the same time.
 
-    Both see generation g. The journal orders them; the second is told which
-    command it lost to, and none of its effects happen.
+    Both are based on the same generation. The second is rejected with the id
+    of the first, and none of its effects are applied.
     """
     state = make_state()
     seen = state.generation
     first = CommandAccepted('c1', 'ana', 'drain a', 'a', seen)
     second = CommandAccepted('c2', 'bo', 'resume a', 'a', seen)
     append(state, first, StateSet('a', MemberState.DRAINING))
-    lost = append(state, second, StateSet('a', MemberState.READY))
-    assert lost[0] == Rejected(RejectReason.CONFLICT, 'c1')
+    rejected = append(state, second, StateSet('a', MemberState.READY))
+    assert rejected[0] == Rejected(RejectReason.CONFLICT, 'c1')
     assert state.members['a'].state is MemberState.DRAINING
 
 
 def test_command_sent_twice_takes_effect_once() -> None:
-    """An operator's answer was lost, and the command is sent again."""
+    """A command is repeated because its response was lost."""
     state = make_state()
     seen = state.generation
     command = CommandAccepted('c1', 'ana', 'drain a', 'a', seen)
@@ -90,8 +90,8 @@
     assert state.members['a'].state is MemberState.READY
 
 
-def test_later_command_from_a_newer_view_wins() -> None:
-    """An operator takes a drain back after having seen it."""
+def test_command_based_on_newer_generation_is_accepted() -> None:
+    """An operator cannot revoke a drain after having seen it."""
     state = make_state()
     append(
         state,
@@ -107,10 +107,10 @@
     assert state.members['a'].state is MemberState.READY
 
 
-def test_older_declaration_is_not_put_back() -> None:
-    """Two operators apply documents made from the same generation.
+def test_outdated_declaration_is_rejected() -> None:
+    """Two operators apply documents based on the same generation.
 
-    The second would undo the first without having seen it.
+    The second would silently revert the first.
     """
     state = make_state()
     seen = state.declaration_generation
@@ -124,8 +124,8 @@
     assert state.services['casebook'].unfenced_grace_ms == 100
 
 
-def test_number_of_slices_stays() -> None:
-    """Another number of ranges would give every key another owner at once."""
+def test_number_of_slices_is_fixed() -> None:
+    """Another number of ranges moves all keys to other owners at once."""
     state = make_state()
     service = ServiceRow('casebook', 9, True, 400)
     append(
@@ -134,8 +134,8 @@
     assert state.services['casebook'].slices == 1
 
 
-def test_only_the_named_successor_takes() -> None:
-    """A process that was successor once takes over from an old view."""
+def test_only_the_named_successor_takes_over() -> None:
+    """A former successor takes over, based on an outdated map."""
     state = make_state()
     fence = state.slices[SLICE].successor_fence
     assert append(state, TakenOver(SLICE, 'c', fence)) != [Applied()]
@@ -145,20 +145,20 @@
     assert append(state, TakenOver(SLICE, 'b', fence)) != [Applied()]
 
 
-def test_fences_rise_with_every_owner() -> None:
-    """A checking server can tell every owner from the ones before."""
+def test_fence_increases_with_each_owner() -> None:
+    """A server that checks fences cannot tell an owner from earlier ones."""
     state = make_state()
     fences = [state.slices[SLICE].fence]
-    for heir, successor in (('b', 'a'), ('a', 'b'), ('b', 'a')):
-        part = state.slices[SLICE]
-        append(state, TakenOver(SLICE, heir, part.successor_fence))
+    for new_owner, successor in (('b', 'a'), ('a', 'b'), ('b', 'a')):
+        slice_row = state.slices[SLICE]
+        append(state, TakenOver(SLICE, new_owner, slice_row.successor_fence))
         append(state, SuccessorNamed(SLICE, successor))
-        fences.append(part.fence)
+        fences.append(slice_row.fence)
     assert fences == sorted(set(fences))
 
 
-def test_testimony_of_another_epoch_ends_nobody() -> None:
-    """Former witnesses' testimony reaches the journal after a change."""
+def test_testimony_of_earlier_epoch_is_stale() -> None:
+    """Testimony of former witnesses ends a member with new witnesses."""
     state = make_state()
     append(state, WitnessesReplaced('a', ('x', 'y', 'z'), 2))
     outcome = append(state, Ended('a', Proof.TESTIMONY, 1))
@@ -166,43 +166,43 @@
     assert state.members['a'].state is MemberState.READY
 
 
-def test_end_of_a_successor_frees_its_places() -> None:
-    """The successor of a moving slice is lost; the move is undone."""
+def test_end_of_a_successor_cancels_the_move() -> None:
+    """The successor fails during a move, and the move stays pending."""
     state = make_state()
     append(state, MoveStarted(SLICE, 'c1'))
     append(state, Ended('b', Proof.TESTIMONY, 1))
-    part = state.slices[SLICE]
-    assert (part.successor, part.moving) == (None, None)
+    slice_row = state.slices[SLICE]
+    assert (slice_row.successor, slice_row.moving) == (None, None)
     assert 'b' not in state.members
 
 
 @pytest.mark.parametrize('new_state', [MemberState.READY, MemberState.DRAINING])
 def test_retired_server_stays_retired(new_state: MemberState) -> None:
-    """A retired server is not brought back by a late command."""
+    """A late command reactivates a retired server."""
     state = make_state()
     append(state, StateSet('a', MemberState.RETIRED))
     outcome = append(state, StateSet('a', new_state))
     assert _reason(outcome[0]) is RejectReason.NOT_ELIGIBLE
 
 
-def test_process_does_not_undo_a_drain() -> None:
-    """A server's process reports ready just after an operator's drain."""
+def test_late_ready_state_does_not_revert_a_drain() -> None:
+    """A process sets its state to ready just after an operator's drain."""
     state = make_state()
     append(state, StateSet('a', MemberState.DRAINING))
     late = StateSet('a', MemberState.READY, MemberState.STARTING)
     assert _reason(append(state, late)[0]) is RejectReason.STALE
 
 
-def test_second_move_of_a_slice_is_told_of_the_first() -> None:
-    """Two moves of one slice: the first goes on."""
+def test_second_move_of_a_slice_is_rejected() -> None:
+    """A second move of a slice replaces the one in progress."""
     state = make_state()
     append(state, OwnerRequested(SLICE, 'b', 'c1'))
     outcome = append(state, OwnerRequested(SLICE, 'c', 'c2'))
     assert outcome == [Rejected(RejectReason.CONFLICT, 'c1')]
 
 
-def test_list_of_hot_keys_is_bounded() -> None:
-    """A caller cannot grow the map by heating many keys."""
+def test_number_of_hot_keys_is_bounded() -> None:
+    """A caller grows the map without limit by making many keys hot."""
     state = make_state()
     for number in range(MAX_HOT_KEYS_PER_SERVICE):
         append(state, HotKeySplit('casebook', f'k{number}'))
