--- a/plantaingrade/config/__init__.py
+++ b/plantaingrade/config/__init__.py
@@ -1,1 +1,1 @@
-"""Routing configuration in force: routes, services, limits."""
+"""Active routing configuration: routes, services and limits."""
--- a/plantaingrade/config/coordinator.py
+++ b/plantaingrade/config/coordinator.py
@@ -1,4 +1,4 @@
-"""Follow the operator's configuration."""
+"""Follow the operators' configuration in the store."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -17,62 +17,62 @@
 )
 from plantaingrade.store.interface import Store
 
-# Length of one wait for changes; the platform allows 30 s. A wait that hears
-# nothing is ended by the word of another process. The more there are, the
-# sooner one of them hears of a change, and the more of them speak to each: so
-# the waits grow with their number.
+# Timeout of one wait for changes; the platform allows 30 s. A wait that misses
+# a change is ended by a version hint from another process. With more processes,
+# one of them receives a change sooner and each gets more hints, so the timeout
+# grows with their number.
 WAIT_S = 10.0
 WAIT_S_PER_MEMBER = 0.1
 MAX_WAIT_S = 25.0
-# The same after a call that was not answered, until one is. A store that is
-# silent loses what is sent to it, and is back at any moment: with this, the
-# answer time of a call and the longest pause it is asked again within 2.3 s,
-# and a change must be in force 2 s after the platform counts the store as back,
-# which is 3 s after its return.
-DOUBTFUL_WAIT_S = 0.5
-# Pause after a call that the store refused, doubled up to the second figure:
-# each call has its price. A change must be in force 2 s after it was made, and
-# any process that knows it tells the others with each request.
-RETRY_S = 0.2
-MAX_RETRY_S = 0.8
-# Pause after a change: several changes in quick succession then cost one call.
-# The platform gives 2 s until a change must be in force.
-SETTLE_S = 0.3
-# Time for a change to arrive by the feed after another process has told of it:
-# the pause after the change before, and a call. All processes hear of a change
-# at about the same time, and the first to act on it would else make all
-# others read the row.
-HINT_PAUSE_S = 0.6
-# A store that came back from a copy has all rows of the operators again after
-# this time; they are then read once more.
-REWRITTEN_S = 10.0
+# Timeout after a call without a response, until a call gets one. A store that
+# does not respond loses requests and may recover at any moment. With this
+# timeout, the response time of a call and the maximum pause, it is called again
+# within 2.3 s. The platform counts a store as recovered 3 s after its recovery,
+# and a change must be active 2 s after that.
+WAIT_AFTER_FAILURE_S = 0.5
+# Pause after a call that the store refused, doubled up to the maximum since
+# every call has a cost. A change must be active 2 s after it was made, and each
+# process that has it announces its version with every request to a peer.
+INITIAL_RETRY_PAUSE_S = 0.2
+MAX_RETRY_PAUSE_S = 0.8
+# Pause after a change, so that several changes in quick succession cost one
+# call. The platform allows 2 s until a change must be active.
+CHANGE_PAUSE_S = 0.3
+# Time for a change to arrive by the feed after a hint from another process: the
+# pause after the previous change, and a call. All processes receive a change at
+# about the same time; without this delay, hints from the first one would make
+# all others read the row.
+HINT_DELAY_S = 0.6
+# Time after which the operators have rewritten the rows that a store restored
+# from a backup lacks; all rows are then read again.
+REREAD_DELAY_S = 10.0
 
 Decode = Callable[[bytes], RoutingConfig]
 NEVER = float('inf')
 
 
 class RowListener(Protocol):
-    """Listener to the rows of the followed table."""
+    """Callback for the rows of the followed table."""
 
     def __call__(
-        self, rows: tuple[Row, ...], *, is_whole: bool, may_lack: bool
+        self, rows: tuple[Row, ...], *, is_full_read: bool, may_lack_rows: bool
     ) -> None:
-        """Take rows that have changed, or all that there are.
+        """Process the changed rows, or all rows on a full read.
 
-        What the store ``may_lack`` was lost with its last seconds, and will be
-        written again.
+        With ``may_lack_rows``, the store was restored from a backup: its last
+        seconds are lost, and lost rows will be rewritten.
         """
 
 
 class ConfigFollower:
-    """Keep the newest configuration; never go back to an older one."""
+    """Keeps the newest configuration; never reverts to an older one."""
 
     __slots__ = (
         '_ask_peers',
         '_count_members',
         '_decode',
         '_epoch',
-        '_has_doubt',
+        '_last_wait_failed',
         '_hinted',
         '_hinted_at',
         '_hinted_version',
@@ -80,7 +80,7 @@
         '_listeners',
         '_log',
         '_reread_at',
-        '_retry_s',
+        '_retry_pause_s',
         '_row_listeners',
         '_store',
         '_table',
@@ -100,21 +100,21 @@
     ) -> None:
         """Follow one row, whose body ``decode`` understands.
 
-        ``ask_peers`` returns the configuration of another process, for when
-        the store does not answer this one; ``count_members`` how many
-        processes are known.
+        ``ask_peers`` returns the configuration of another process and is used
+        while the store does not respond to this one; ``count_members`` returns
+        the number of known processes.
         """
         self._count_members = count_members
         self._ask_peers = ask_peers
-        # Whether the last wait for changes had no answer.
-        self._has_doubt = False
-        # Epoch of the store at the last reading of all rows.
+        # Whether the last wait for changes failed.
+        self._last_wait_failed = False
+        # Epoch of the store at the last full read.
         self._epoch: int | None = None
         self._reread_at = NEVER
         self._hinted = asyncio.Event()
         self._hinted_at = 0.0
         self._hinted_version = 0
-        self._retry_s = RETRY_S
+        self._retry_pause_s = INITIAL_RETRY_PAUSE_S
         self._store = store
         self._table = table
         self._key = key
@@ -127,23 +127,23 @@
 
     @property
     def version(self) -> int:
-        """Return the version in force, 0 before the first."""
+        """Return the active version; 0 if there is none yet."""
         return 0 if self.config is None else self.config.version
 
     def add_listener(self, listener: Callable[[RoutingConfig], None]) -> None:
-        """Call back after each change."""
+        """Add a callback for each new configuration."""
         self._listeners.append(listener)
 
     def add_row_listener(self, listener: RowListener) -> None:
-        """Have all rows of the table told, and whether those are all it has."""
+        """Add a callback for the rows of each full read and each change."""
         self._row_listeners.append(listener)
 
     def on_hint(self, version: int) -> None:
-        """Take the word of another process that a version is in force.
+        """Record the version that another process has active.
 
-        The connection on which this process waits may have gone silent. Every
-        request of another process brings its version, so the wait ends soon
-        after anybody knows more.
+        The connection on which this process waits may be unresponsive. Each
+        request from another process carries its version, so the wait ends soon
+        after any process has a newer one.
         """
         if version <= max(self.version, self._hinted_version):
             return
@@ -153,7 +153,7 @@
         self._hinted.set()
 
     async def async_run(self) -> None:
-        """Follow until cancelled."""
+        """Follow the configuration until cancelled."""
         while True:
             after = await self._async_read()
             if after is None:
@@ -163,7 +163,7 @@
             await self._async_pause()
 
     async def _async_wait(self, after: int) -> int | None:
-        """Wait for changes, or for word of them from another process."""
+        """Wait for changes, or until a hint shows that they are overdue."""
         loop = asyncio.get_running_loop()
         feed = loop.create_task(self._async_follow(after))
         hint = loop.create_task(self._async_wait_overdue())
@@ -178,7 +178,7 @@
     async def _async_wait_overdue(self) -> None:
         while not self._is_overdue():
             await self._hinted.wait()
-            await asyncio.sleep(HINT_PAUSE_S)
+            await asyncio.sleep(HINT_DELAY_S)
 
     def _must_read(self) -> bool:
         return self._is_overdue() or _now() >= self._reread_at
@@ -187,12 +187,12 @@
         return self._hinted_version > self.version
 
     def _is_overdue(self) -> bool:
-        """Tell whether the feed has not brought what others go by."""
-        is_late = _now() - self._hinted_at >= HINT_PAUSE_S
+        """Return whether the feed is late with a version that peers have."""
+        is_late = _now() - self._hinted_at >= HINT_DELAY_S
         return is_late and self._is_behind()
 
-    def _note_progress(self) -> None:
-        """Give the feed time anew: it has just brought a change."""
+    def _on_progress(self) -> None:
+        """Restart the delay: the feed has just delivered a change."""
         self._hinted_at = _now()
         if not self._is_behind():
             self._hinted.clear()
@@ -200,34 +200,36 @@
     async def _async_ask_peers(self) -> None:
         body = await self._ask_peers()
         if body:
-            self._take_config(body, source='peer')
+            self._activate(body, source='peer')
 
     async def _async_read(self) -> int | None:
         outcome = await self._store.async_read(self._table, '')
         if not isinstance(outcome, RangeRead):
             self._log.write('config-not-read', why=outcome.failure)
             return None
-        may_lack = self._epoch is not None and outcome.epoch > self._epoch
+        may_lack_rows = self._epoch is not None and outcome.epoch > self._epoch
         self._epoch = outcome.epoch
-        self._reread_at = _now() + REWRITTEN_S if may_lack else NEVER
-        self._take(outcome.rows, is_whole=True, may_lack=may_lack)
+        self._reread_at = _now() + REREAD_DELAY_S if may_lack_rows else NEVER
+        self._on_rows(
+            outcome.rows, is_full_read=True, may_lack_rows=may_lack_rows
+        )
         return outcome.version
 
     async def _async_follow(self, after: int) -> int | None:
-        """Wait for changes once; return the version to go on from.
+        """Wait for changes once; return the version to continue from.
 
-        A wait that was sent while the store was silent is lost, and nothing
-        tells so before it is over.
+        A wait sent while the store was unresponsive is lost, which is noticed
+        only when it times out.
         """
-        wait_s = self._wait_s()
+        wait_s = self._wait_timeout_s()
         outcome = await self._store.async_follow(self._table, after, wait_s)
-        self._has_doubt = isinstance(outcome, NotDone)
+        self._last_wait_failed = isinstance(outcome, NotDone)
         match outcome:
             case Changes(rows=rows, version=version):
-                self._retry_s = RETRY_S
+                self._retry_pause_s = INITIAL_RETRY_PAUSE_S
                 if rows:
-                    self._take(rows, is_whole=False)
-                    await asyncio.sleep(SETTLE_S)
+                    self._on_rows(rows, is_full_read=False)
+                    await asyncio.sleep(CHANGE_PAUSE_S)
                 return version
             case HistoryGone():
                 self._log.write('config-history-gone', after=after)
@@ -237,29 +239,35 @@
                 await self._async_pause()
                 return after
 
-    def _wait_s(self) -> float:
-        if self._has_doubt:
-            return DOUBTFUL_WAIT_S
+    def _wait_timeout_s(self) -> float:
+        if self._last_wait_failed:
+            return WAIT_AFTER_FAILURE_S
         grown_s = WAIT_S + WAIT_S_PER_MEMBER * self._count_members()
         return min(MAX_WAIT_S, grown_s)
 
     async def _async_pause(self) -> None:
-        """Leave the store alone for a while, longer after each failure."""
-        pause_s = self._retry_s
-        self._retry_s = min(MAX_RETRY_S, 2 * pause_s)
+        """Pause before the next call, longer after each failure."""
+        pause_s = self._retry_pause_s
+        self._retry_pause_s = min(MAX_RETRY_PAUSE_S, 2 * pause_s)
         await asyncio.sleep(pause_s)
 
-    def _take(
-        self, rows: tuple[Row, ...], *, is_whole: bool, may_lack: bool = False
+    def _on_rows(
+        self,
+        rows: tuple[Row, ...],
+        *,
+        is_full_read: bool,
+        may_lack_rows: bool = False,
     ) -> None:
         for listener in self._row_listeners:
-            listener(rows, is_whole=is_whole, may_lack=may_lack)
+            listener(
+                rows, is_full_read=is_full_read, may_lack_rows=may_lack_rows
+            )
         for row in rows:
             if row.name.key == self._key and not row.is_deleted:
-                self._take_config(row.body, source='store')
+                self._activate(row.body, source='store')
 
-    def _take_config(self, body: bytes, source: str) -> None:
-        """Put a configuration in force, unless it cannot be used."""
+    def _activate(self, body: bytes, source: str) -> None:
+        """Activate a configuration if it is valid and newer."""
         try:
             config = self._decode(body)
         except PlantaingradeError as error:
@@ -276,7 +284,7 @@
         )
         self.config = config
         self.routes = RouteTable(config)
-        self._note_progress()
+        self._on_progress()
         for listener in self._listeners:
             listener(config)
 
--- a/plantaingrade/config/entity.py
+++ b/plantaingrade/config/entity.py
@@ -1,24 +1,24 @@
 """Typed routing configuration.
 
-All times are seconds.
+All times are in seconds.
 """
 
 from msgspec import Struct
 
 
 class ServiceShare(Struct, frozen=True):
-    """One service of a route and its weight among the others."""
+    """One service of a route and its relative weight."""
 
     service: str
     weight: float
 
 
 class Route(Struct, frozen=True):
-    """Where requests of one host and path prefix go, and within what limits.
+    """Targets and limits of the requests to one host and path prefix.
 
-    ``objective_s`` is the latency objective, ``priority`` ranks classes of
-    requests with 0 as the most urgent, and ``max_servers`` bounds the backend
-    servers to which one request may be sent.
+    ``objective_s`` is the latency objective, ``priority`` is 0 for the most
+    urgent requests and higher for others, and ``max_servers`` limits the number
+    of backend servers that one request may be sent to.
     """
 
     name: str
@@ -33,10 +33,10 @@
 
 
 class ServiceConfig(Struct, frozen=True):
-    """One service as the operator declares it.
+    """One service as declared by the operator.
 
-    ``cold_per_s`` is how many requests a second one of its servers tolerates
-    while it is cold, or nothing where that is not declared.
+    ``cold_per_s`` is the number of requests per second that one of its servers
+    can serve while cold; None if not declared.
     """
 
     name: str
@@ -47,7 +47,7 @@
 
 
 class Limits(Struct, frozen=True):
-    """Bounds on what callers may send, in bytes and seconds."""
+    """Limits on requests of callers, in bytes and seconds."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -56,7 +56,7 @@
 
 
 class RoutingConfig(Struct, frozen=True):
-    """One version of the configuration, whole."""
+    """One complete version of the configuration."""
 
     version: int
     routes: tuple[Route, ...]
--- a/plantaingrade/config/evacuations.py
+++ b/plantaingrade/config/evacuations.py
@@ -1,4 +1,4 @@
-"""Availability zones that operators have asked to be evacuated. Pure."""
+"""Zones that operators want evacuated; performs no I/O."""
 
 from collections.abc import Callable
 
@@ -8,38 +8,38 @@
 
 
 class Evacuations:
-    """Zones whose servers get nothing, by the rows of the operators' table.
+    """Zones whose servers get no requests, from the operators' table.
 
-    A row stands for each evacuation until it is taken back. What was learned
-    from a whole read may be of any age, while a change is of just now; the
-    listener is told which.
+    Each evacuation has a row, deleted when it is revoked. Rows of a full read
+    may be of any age, while changed rows are recent; the listener is passed
+    which of the two applies.
     """
 
     __slots__ = ('_listener', '_prefix', 'zones')
 
     def __init__(self, prefix: str) -> None:
-        """Know of no evacuation; rows of evacuations begin with ``prefix``."""
+        """Start without evacuations; their rows have keys with ``prefix``."""
         self._prefix = prefix
         self._listener: Listener | None = None
         self.zones: frozenset[str] = frozenset()
 
     def subscribe(self, listener: Listener) -> None:
-        """Have a listener told of all zones, and whether that is news."""
+        """Set the callback for all evacuated zones and whether it is recent."""
         self._listener = listener
 
     def on_rows(
         self,
         rows: tuple[Row, ...],
         *,
-        is_whole: bool,
-        may_lack: bool = False,
+        is_full_read: bool,
+        may_lack_rows: bool = False,
     ) -> None:
-        """Follow rows of the table: all that it has, or what has changed.
+        """Apply all rows of the table, or the changed ones.
 
-        An evacuation that the store ``may_lack`` goes on until it is known
-        whether it was taken back.
+        With ``may_lack_rows``, known evacuations stay until it is known whether
+        they were revoked.
         """
-        is_replaced = is_whole and not may_lack
+        is_replaced = is_full_read and not may_lack_rows
         zones = set() if is_replaced else set(self.zones)
         for row in rows:
             if not row.name.key.startswith(self._prefix):
@@ -53,4 +53,4 @@
             return
         self.zones = frozenset(zones)
         if self._listener is not None:
-            self._listener(self.zones, not is_whole)
+            self._listener(self.zones, not is_full_read)
--- a/tests/config/__init__.py
+++ b/tests/config/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of config."""
+"""Tests of the routing configuration."""
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -1,4 +1,4 @@
-"""Routes, and the configuration in force."""
+"""Route lookup, and following the configuration in the store."""
 
 import asyncio
 import os
@@ -7,7 +7,7 @@
 import pytest
 
 from plantaingrade.config.coordinator import (
-    REWRITTEN_S,
+    REREAD_DELAY_S,
     WAIT_S,
     ConfigFollower,
 )
@@ -32,7 +32,7 @@
 from plantaingrade.store.epochs import VERSIONS_PER_EPOCH
 from tests.virtual import LoopClock, run
 
-# The platform gives this time for a change to be in force.
+# Time in seconds that the platform allows for a change to become active.
 APPLY_S = 2.0
 
 LIMITS = Limits(16384, 1000, 3, 15)
@@ -57,7 +57,7 @@
     return config(int(body), route('x', '/a/'))
 
 
-def test_the_longest_prefix_of_the_host_wins() -> None:
+def test_longest_prefix_of_the_host_matches() -> None:
     table = RouteTable(
         config(
             1,
@@ -74,7 +74,7 @@
         assert table.find(host, path) is None
 
 
-def test_shares_follow_their_weights_closely() -> None:
+def test_shares_match_their_weights() -> None:
     split = route('x', '/a/', 90, 10)
     table = RouteTable(config(1, split))
     chosen = [table.next_service(split) for _ in range(300)]
@@ -83,13 +83,13 @@
 
 
 class FakeStore:
-    """A store whose rows are set by the test."""
+    """Store whose rows and faults are set by the test."""
 
     def __init__(self) -> None:
         self.body = b'1'
         self.version = 1
-        self.is_away = False
-        self.is_deaf = False
+        self.is_unavailable = False
+        self.is_feed_silent = False
         self.history_from = 0
         self.reads = 0
         self.follows = 0
@@ -97,7 +97,7 @@
     async def async_read(self, table: str, part: str):
         self.reads += 1
         await asyncio.sleep(0.01)
-        if self.is_away:
+        if self.is_unavailable:
             return NotDone(StoreFailure.BUSY)
         return RangeRead((Row(NAME, self.body, 1),), self.version, 0)
 
@@ -105,9 +105,9 @@
         self.follows += 1
         for _ in range(int(wait_s / 0.1)):
             await asyncio.sleep(0.1)
-            if self.is_deaf:
+            if self.is_feed_silent:
                 continue
-            if self.is_away:
+            if self.is_unavailable:
                 return NotDone(StoreFailure.BUSY)
             if after < self.history_from:
                 return HistoryGone()
@@ -122,9 +122,9 @@
 
 
 class SilentStore(FakeStore):
-    """A store that loses what reaches it, or waits there, for a while.
+    """Store that loses the calls sent or waiting during an interval.
 
-    ``silent`` is from when until when, in seconds of the running loop.
+    ``silent`` is its start and end, in seconds of the running loop.
     """
 
     def __init__(self) -> None:
@@ -133,37 +133,37 @@
 
     async def async_follow(self, table: str, after: int, wait_s: float):
         loop = asyncio.get_running_loop()
-        begins, ends = self.silent
-        began = loop.time()
+        start, end = self.silent
+        sent_at = loop.time()
         answer = await super().async_follow(table, after, wait_s)
-        if began < ends and loop.time() >= begins:
-            # Who asked gives up a second after the answer was due.
-            await asyncio.sleep(began + wait_s + 1 - loop.time())
+        if sent_at < end and loop.time() >= start:
+            # The client times out one second after the response was due.
+            await asyncio.sleep(sent_at + wait_s + 1 - loop.time())
             return NotDone(StoreFailure.NOT_REACHED)
         return answer
 
 
 def follow(
-    story,
-    asked: bytes | None = None,
+    scenario,
+    peer_config: bytes | None = None,
     make_store: Callable[[], FakeStore] = FakeStore,
 ) -> None:
-    async def ask() -> bytes | None:
-        return asked
+    async def ask_peers() -> bytes | None:
+        return peer_config
 
-    async def play() -> None:
+    async def run_scenario() -> None:
         log = EventLog('t', LoopClock(), os.open(os.devnull, os.O_WRONLY))
         store = make_store()
-        follower = ConfigFollower(store, 'op', 'config', decode, log, ask)
+        follower = ConfigFollower(store, 'op', 'config', decode, log, ask_peers)
         task = asyncio.create_task(follower.async_run())
-        await story(store, follower)
+        await scenario(store, follower)
         task.cancel()
 
-    run(play())
+    run(run_scenario())
 
 
-def test_the_newest_configuration_is_followed() -> None:
-    async def story(store, follower) -> None:
+def test_newest_configuration_is_active() -> None:
+    async def scenario(store, follower) -> None:
         assert follower.version == 0
         await asyncio.sleep(0.1)
         assert follower.version == 1
@@ -172,11 +172,11 @@
             await asyncio.sleep(1)
             assert follower.version == int(version)
 
-    follow(story)
+    follow(scenario)
 
 
-def test_what_cannot_be_used_leaves_the_old_one_in_force() -> None:
-    async def story(store, follower) -> None:
+def test_invalid_configuration_leaves_the_old_one_active() -> None:
+    async def scenario(store, follower) -> None:
         await asyncio.sleep(0.1)
         store.put(b'garbage')
         await asyncio.sleep(1)
@@ -185,11 +185,11 @@
         await asyncio.sleep(1)
         assert follower.version == 3
 
-    follow(story)
+    follow(scenario)
 
 
-def test_an_older_version_never_comes_back() -> None:
-    async def story(store, follower) -> None:
+def test_older_version_is_ignored() -> None:
+    async def scenario(store, follower) -> None:
         await asyncio.sleep(0.1)
         store.put(b'7')
         await asyncio.sleep(1)
@@ -197,11 +197,11 @@
         await asyncio.sleep(1)
         assert follower.version == 7
 
-    follow(story)
+    follow(scenario)
 
 
-def test_a_lost_history_is_made_up_for_by_reading() -> None:
-    async def story(store, follower) -> None:
+def test_rows_are_read_if_the_history_is_gone() -> None:
+    async def scenario(store, follower) -> None:
         await asyncio.sleep(0.1)
         store.put(b'8')
         store.history_from = store.version + 5
@@ -209,19 +209,19 @@
         await asyncio.sleep(2)
         assert follower.version == 8
 
-    follow(story)
+    follow(scenario)
 
 
-def test_word_of_another_process_ends_a_wait_that_hears_nothing() -> None:
-    """The connection on which changes are awaited has gone silent.
+def test_hint_ends_a_wait_that_misses_a_change() -> None:
+    """An old configuration stays active while the feed is unresponsive.
 
-    Another process goes by a newer version; the row is then read, well
-    within the time in which a change must be in force.
+    The hint of a process with a newer version causes a read of the row, well
+    within the time in which a change must be active.
     """
 
-    async def story(store, follower) -> None:
+    async def scenario(store, follower) -> None:
         await asyncio.sleep(0.1)
-        store.is_deaf = True
+        store.is_feed_silent = True
         store.put(b'6')
         await asyncio.sleep(2)
         assert follower.version == 1
@@ -229,17 +229,18 @@
         await asyncio.sleep(APPLY_S / 2)
         assert follower.version == 6
 
-    follow(story)
+    follow(scenario)
 
 
-def test_word_that_comes_before_the_feed_costs_no_call() -> None:
-    """A change reaches all processes at about the same time.
+def test_hint_before_the_feed_costs_no_call() -> None:
+    """Each change makes all processes read the row.
 
-    Requests of the first of them arrive here before the feed's answer does.
-    The row is not read for that, also not after several changes.
+    All of them receive a change at about the same time, and requests of the
+    first arrive before the feed's response. This must not cause a read, not
+    even after several changes.
     """
 
-    async def story(store, follower) -> None:
+    async def scenario(store, follower) -> None:
         await asyncio.sleep(0.1)
         reads = store.reads
         for version in range(2, 8):
@@ -251,11 +252,11 @@
         assert follower.version == 7
         assert store.reads == reads
 
-    follow(story)
+    follow(scenario)
 
 
-def test_word_of_an_older_version_costs_no_call() -> None:
-    async def story(store, follower) -> None:
+def test_hint_of_an_older_version_costs_no_call() -> None:
+    async def scenario(store, follower) -> None:
         await asyncio.sleep(0.1)
         reads = store.reads
         for _ in range(50):
@@ -263,20 +264,20 @@
             await asyncio.sleep(0.05)
         assert store.reads == reads
 
-    follow(story)
+    follow(scenario)
 
 
-def test_without_the_store_another_process_is_asked() -> None:
-    async def story(store, follower) -> None:
-        store.is_away = True
+def test_configuration_comes_from_a_peer_without_the_store() -> None:
+    async def scenario(store, follower) -> None:
+        store.is_unavailable = True
         await asyncio.sleep(0.5)
         assert follower.version == 12
 
-    follow(story, asked=b'12')
+    follow(scenario, peer_config=b'12')
 
 
-def test_a_quick_succession_of_versions_costs_few_calls() -> None:
-    async def story(store, follower) -> None:
+def test_quick_succession_of_versions_is_followed() -> None:
+    async def scenario(store, follower) -> None:
         await asyncio.sleep(0.1)
         for version in range(2, 40):
             store.put(str(version).encode())
@@ -284,76 +285,76 @@
         await asyncio.sleep(1)
         assert follower.version == 39
 
-    follow(story)
+    follow(scenario)
 
 
-@pytest.mark.parametrize('asked', [None, b'garbage'])
-def test_nothing_is_in_force_until_something_is_known(asked) -> None:
-    async def story(store, follower) -> None:
-        store.is_away = True
+@pytest.mark.parametrize('peer_config', [None, b'garbage'])
+def test_nothing_is_active_until_a_configuration_is_known(peer_config) -> None:
+    async def scenario(store, follower) -> None:
+        store.is_unavailable = True
         await asyncio.sleep(1)
         assert follower.version == 0
         assert follower.routes is None
 
-    follow(story, asked=asked)
+    follow(scenario, peer_config=peer_config)
 
 
-def test_a_store_that_refuses_is_asked_ever_more_rarely() -> None:
-    """The store turns this process away for ten seconds, at once each time.
+def test_refusing_store_is_called_less_often() -> None:
+    """The store refuses calls for ten seconds, each one immediately.
 
-    Each of 31 processes asked for the configuration four times a second, and
-    the store counts refused calls too.
+    Without backoff each of 31 processes called it four times a second, and the
+    store counts refused calls too.
     """
 
-    async def story(store, follower) -> None:
+    async def scenario(store, follower) -> None:
         await asyncio.sleep(0.1)
-        store.is_away = True
+        store.is_unavailable = True
         store.follows = 0
         await asyncio.sleep(10)
         # Each call takes 0.1 s; without a longer pause there are over 30.
         assert store.follows <= 16
-        store.is_away = False
+        store.is_unavailable = False
         store.put(b'2')
         await asyncio.sleep(1)
         assert follower.version == 2
 
-    follow(story)
+    follow(scenario)
 
 
-@pytest.mark.parametrize('begins_s', [6.0, 7.0, 8.0, 9.0])
-def test_a_wait_that_the_store_lost_is_not_waited_out(begins_s) -> None:
-    """An old configuration is used 2.2 s after a new one was acknowledged.
+@pytest.mark.parametrize('silent_after_s', [6.0, 7.0, 8.0, 9.0])
+def test_lost_wait_times_out_early(silent_after_s) -> None:
+    """An old configuration is active 2.2 s after a new one was acknowledged.
 
-    The store is silent for eight seconds. A wait that was sent meanwhile is
-    lost, though the store is back a second later, and a change is made soon
-    after that. Nothing arrives until the wait's ten seconds are over.
+    The store does not respond for eight seconds and loses a wait sent
+    meanwhile. It recovers a second later, and a change is made soon after that,
+    but nothing arrives until the ten seconds of the lost wait are over.
     """
 
-    async def story(store, follower) -> None:
+    async def scenario(store, follower) -> None:
         now = asyncio.get_running_loop().time()
-        store.silent = (now + begins_s, now + begins_s + 8)
-        await asyncio.sleep(begins_s + 8 + 1.1)
+        store.silent = (now + silent_after_s, now + silent_after_s + 8)
+        await asyncio.sleep(silent_after_s + 8 + 1.1)
         store.put(b'2')
         await asyncio.sleep(APPLY_S)
         assert follower.version == 2
 
-    follow(story, make_store=SilentStore)
+    follow(scenario, make_store=SilentStore)
 
 
-def test_rows_are_read_again_after_the_store_came_back_from_a_copy() -> None:
-    """What its copy lacks is written again, and nothing tells of the rest."""
+def test_rows_are_read_again_after_a_restore_from_backup() -> None:
+    """Rows that the backup lacks are kept though never rewritten."""
 
-    async def story(store: FakeStore, follower: ConfigFollower) -> None:
-        taken: list[bool] = []
+    async def scenario(store: FakeStore, follower: ConfigFollower) -> None:
+        reported: list[bool] = []
         follower.add_row_listener(
-            lambda _, **how: taken.append(how['may_lack'])
+            lambda _, **flags: reported.append(flags['may_lack_rows'])
         )
         await asyncio.sleep(1.0)
         store.version += VERSIONS_PER_EPOCH
         store.history_from = store.version
         await asyncio.sleep(2.0)
-        assert taken[-1]
-        await asyncio.sleep(REWRITTEN_S + WAIT_S)
-        assert not taken[-1]
+        assert reported[-1]
+        await asyncio.sleep(REREAD_DELAY_S + WAIT_S)
+        assert not reported[-1]
 
-    follow(story)
+    follow(scenario)
--- a/tests/config/test_evacuations.py
+++ b/tests/config/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Which zones are evacuated, by the operators' table."""
+"""Evacuated zones, from the rows of the operators' table."""
 
 import pytest
 
@@ -10,50 +10,56 @@
     return Row(RowName('op', '', key), b'{}', 5, is_deleted)
 
 
-@pytest.fixture(name='told')
-def _told() -> list:
+@pytest.fixture(name='reported')
+def _reported() -> list:
     return []
 
 
 @pytest.fixture(name='evacuations')
-def _evacuations(told: list) -> Evacuations:
+def _evacuations(reported: list) -> Evacuations:
     evacuations = Evacuations('evacuate/')
-    evacuations.subscribe(lambda zones, is_news: told.append((zones, is_news)))
+    evacuations.subscribe(
+        lambda zones, is_recent: reported.append((zones, is_recent))
+    )
     return evacuations
 
 
-def test_zones_come_and_go(evacuations: Evacuations, told: list) -> None:
-    evacuations.on_rows((row('config'), row('evacuate/a')), is_whole=False)
-    evacuations.on_rows((row('evacuate/b'),), is_whole=False)
-    evacuations.on_rows((row('evacuate/a', is_deleted=True),), is_whole=False)
-    assert told == [({'a'}, True), ({'a', 'b'}, True), ({'b'}, True)]
+def test_zones_are_added_and_removed(
+    evacuations: Evacuations, reported: list
+) -> None:
+    evacuations.on_rows((row('config'), row('evacuate/a')), is_full_read=False)
+    evacuations.on_rows((row('evacuate/b'),), is_full_read=False)
+    evacuations.on_rows(
+        (row('evacuate/a', is_deleted=True),), is_full_read=False
+    )
+    assert reported == [({'a'}, True), ({'a', 'b'}, True), ({'b'}, True)]
 
 
-def test_a_whole_read_replaces_what_was_known(
-    evacuations: Evacuations, told: list
+def test_full_read_replaces_known_zones(
+    evacuations: Evacuations, reported: list
 ) -> None:
-    """The store has lost its history, and an evacuation ended meanwhile."""
-    evacuations.on_rows((row('evacuate/a'),), is_whole=False)
-    evacuations.on_rows((row('config'),), is_whole=True)
+    """An evacuation revoked during a gap in the history goes on."""
+    evacuations.on_rows((row('evacuate/a'),), is_full_read=False)
+    evacuations.on_rows((row('config'),), is_full_read=True)
     assert not evacuations.zones
-    assert told[-1] == (frozenset(), False)
+    assert reported[-1] == (frozenset(), False)
 
 
-def test_what_changes_nothing_is_not_told(
-    evacuations: Evacuations, told: list
+def test_unchanged_zones_are_not_reported(
+    evacuations: Evacuations, reported: list
 ) -> None:
-    evacuations.on_rows((row('evacuate/a'),), is_whole=True)
-    evacuations.on_rows((row('evacuate/a'), row('config')), is_whole=False)
-    assert told == [({'a'}, False)]
+    evacuations.on_rows((row('evacuate/a'),), is_full_read=True)
+    evacuations.on_rows((row('evacuate/a'), row('config')), is_full_read=False)
+    assert reported == [({'a'}, False)]
 
 
-def test_an_evacuation_outlasts_a_copy_of_the_store_that_lacks_it(
-    evacuations: Evacuations, told: list
+def test_evacuation_survives_a_restored_store_without_its_row(
+    evacuations: Evacuations, reported: list
 ) -> None:
-    """The operator will write it again; until then its zone gets nothing."""
-    evacuations.on_rows((row('evacuate/a'),), is_whole=False)
-    evacuations.on_rows((row('config'),), is_whole=True, may_lack=True)
+    """A zone gets requests again before its row is rewritten."""
+    evacuations.on_rows((row('evacuate/a'),), is_full_read=False)
+    evacuations.on_rows((row('config'),), is_full_read=True, may_lack_rows=True)
     assert evacuations.zones == {'a'}
-    evacuations.on_rows((row('config'),), is_whole=True)
+    evacuations.on_rows((row('config'),), is_full_read=True)
     assert not evacuations.zones
-    assert told[-1] == (frozenset(), False)
+    assert reported[-1] == (frozenset(), False)
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -271,7 +271,7 @@
     Guard(
         'waits are short while the store is in doubt',
         'plantaingrade/config/coordinator.py',
-        'if self._has_doubt:',
+        'if self._last_wait_failed:',
         'if False:',
         'tests/config',
     ),
