--- a/plantaingrade/config/coordinator.py
+++ b/plantaingrade/config/coordinator.py
@@ -98,7 +98,7 @@
         ask_peers: Callable[[], Awaitable[bytes | None]],
         count_members: Callable[[], int] = int,
     ) -> None:
-        """Follow one row, whose body ``decode`` understands.
+        """Create a follower of one row; ``decode`` parses its body.
 
         ``ask_peers`` returns the configuration of another process and is used
         while the store does not respond to this one; ``count_members`` returns
--- a/plantaingrade/journal/rules.py
+++ b/plantaingrade/journal/rules.py
@@ -47,8 +47,8 @@
         if isinstance(change, CommandAccepted) and isinstance(
             outcome, Rejected
         ):
-            rest = record.changes[len(outcomes) :]
-            outcomes.extend(outcome for _ in rest)
+            remaining = record.changes[len(outcomes) :]
+            outcomes.extend(outcome for _ in remaining)
             break
     remove_ended_members(state)
     return outcomes
@@ -58,19 +58,19 @@
     """Apply one change to the map."""
     match change:
         case MemberJoined(row=row):
-            return _announce(state, row)
+            return _add_member(state, row)
         case StateSet() | WitnessesReplaced() | Ended():
             return _change_member(state, change)
         case DeclarationApplied():
-            return _declare(state, change)
+            return _apply_declaration(state, change)
         case CommandAccepted():
-            return _command(state, change)
+            return _accept_command(state, change)
         case HotKeySplit():
             return split_hot_key(state, change)
     return change_slice(state, change)
 
 
-def _announce(state: MapState, row: MemberRow) -> ChangeOutcome:
+def _add_member(state: MapState, row: MemberRow) -> ChangeOutcome:
     if row.service not in state.services:
         return Rejected(RejectReason.UNKNOWN_SERVICE)
     if row.member in state.members:
@@ -86,7 +86,7 @@
     if any(other.http != row.http for other in earlier):
         return Rejected(RejectReason.SERVER_IN_USE)
     for other in earlier:
-        _end(state, other, Proof.RESTART)
+        _end_member(state, other, Proof.RESTART)
     joined = replace(row, epoch_at=state.generation)
     state.members[row.member] = joined
     return APPLIED
@@ -113,7 +113,7 @@
             # may arrive late.
             if proof is Proof.TESTIMONY and epoch != row.epoch:
                 return STALE
-            _end(state, row, proof)
+            _end_member(state, row, proof)
     return APPLIED
 
 
@@ -126,7 +126,7 @@
     return APPLIED
 
 
-def _end(state: MapState, row: MemberRow, proof: Proof) -> None:
+def _end_member(state: MapState, row: MemberRow, proof: Proof) -> None:
     row.state = MemberState.OVER
     row.proof = proof
     for slice_row in state.slices.values():
@@ -155,7 +155,9 @@
             state.members.pop(member)
 
 
-def _declare(state: MapState, change: DeclarationApplied) -> ChangeOutcome:
+def _apply_declaration(
+    state: MapState, change: DeclarationApplied
+) -> ChangeOutcome:
     if change.based_on != state.declaration_generation:
         return STALE
     for service in change.services:
@@ -190,7 +192,7 @@
             state.slices.pop(slice_id)
 
 
-def _command(state: MapState, change: CommandAccepted) -> ChangeOutcome:
+def _accept_command(state: MapState, change: CommandAccepted) -> ChangeOutcome:
     known = state.commands.get(change.command_id)
     if known is not None:
         return Rejected(RejectReason.DUPLICATE, known.command_id)
