--- a/plantaingrade/routing/__init__.py
+++ b/plantaingrade/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The path of requests to the owners of their keys."""
+"""Routes requests to the owners of their keys."""
--- a/plantaingrade/routing/attempt.py
+++ b/plantaingrade/routing/attempt.py
@@ -1,4 +1,4 @@
-"""One try to have a request answered by an upstream."""
+"""One attempt to send a request to an upstream."""
 
 import asyncio
 
@@ -30,12 +30,12 @@
     UnknownReason,
 )
 from plantaingrade.routing.body import RequestBody
-from plantaingrade.routing.const import SILENT_AFTER_S
+from plantaingrade.routing.const import UNRESPONSIVE_AFTER_S
 from plantaingrade.routing.entity import Head, Headers, RouteRequest
 
 
 class Upstream(Struct, frozen=True):
-    """Where one try goes, and with which headers of our own."""
+    """Address of one attempt, and the headers added to the request."""
 
     address: str
     headers: Headers
@@ -46,46 +46,46 @@
 AttemptOutcome = Head | NotRun | Unknown
 
 
-class Attempts:
-    """Make tries on pooled connections, and find the silent ones."""
+class UpstreamClient:
+    """Sends requests on pooled connections; detects unresponsive ones."""
 
     __slots__ = ('_metrics', 'pool')
 
     def __init__(self, pool: Pool, metrics: Metrics) -> None:
-        """Use one pool."""
+        """Create a client that uses the pool."""
         self.pool = pool
         self._metrics = metrics
 
-    async def async_try(
+    async def async_send(
         self,
         upstream: Upstream,
         request: RouteRequest,
         body: RequestBody,
         left_s: float,
     ) -> AttemptOutcome:
-        """Try once; try again if the connection keeps silent.
+        """Send a request; repeat it if the connection is unresponsive.
 
-        A connection may be silent for good while new ones work. Idempotent work
-        goes again on a fresh one, while half of its time is left at least;
-        other work never takes a connection that idled.
+        A connection may stay unresponsive while new ones work. An idempotent
+        request is repeated on a new one, with at least half of its time left;
+        other requests are never sent on a connection that was idle.
         """
         if not request.is_idempotent:
             return await attempt(self.pool, upstream, request, body)
         try:
-            async with asyncio.timeout(min(SILENT_AFTER_S, left_s / 2)):
+            async with asyncio.timeout(min(UNRESPONSIVE_AFTER_S, left_s / 2)):
                 return await attempt(self.pool, upstream, request, body)
         except TimeoutError:
-            self.distrust(upstream.address)
+            self.on_unresponsive(upstream.address)
         if not body.is_replayable:
             return Unknown(UnknownReason.TIMEOUT)
-        again = replace(upstream, fresh=True)
-        return await attempt(self.pool, again, request, body)
+        retry = replace(upstream, fresh=True)
+        return await attempt(self.pool, retry, request, body)
 
-    def distrust(self, address: str) -> None:
-        """Close the idle connections beside one that kept silent.
+    def on_unresponsive(self, address: str) -> None:
+        """Close the idle connections to an address with an unresponsive one.
 
-        What lost track of one connection has often lost track of all; each
-        would swallow a request of its own.
+        A device that lost the state of one connection has often lost that of
+        all, and each of them would lose another request.
         """
         self._metrics.on_event('silent connection')
         self.pool.forget(address)
@@ -97,15 +97,15 @@
     request: RouteRequest,
     body: RequestBody,
 ) -> AttemptOutcome:
-    """Send the request and return the answer's head, or a typed failure."""
+    """Send the request; return the response head or a typed failure."""
     try:
         channel = await pool.acquire(upstream.address, fresh=upstream.fresh)
     except ConnectFailedError:
         return NotRun(NotRunReason.CONNECT_FAILED)
     try:
-        channel.send(_head_of(upstream, request))
+        channel.send(_build_head(upstream, request))
     except ChannelClosedError:
-        # The connection was known to be closed before a byte was written.
+        # The connection was closed before any byte was written.
         channel.abort()
         return NotRun(NotRunReason.CONNECT_FAILED)
     try:
@@ -114,16 +114,17 @@
         channel.abort()
         return Unknown(UnknownReason.BROKEN)
     except BaseException:
-        # Closing passes a cancellation or a deadline on to the upstream.
+        # Closing the connection passes a cancellation or a timeout on to the
+        # upstream.
         channel.abort()
         raise
-    return _check(request, upstream, response, channel)
+    return _check_request_id(request, upstream, response, channel)
 
 
-def _head_of(upstream: Upstream, request: RouteRequest) -> Request:
-    """Return the head of one try.
+def _build_head(upstream: Upstream, request: RouteRequest) -> Request:
+    """Return the request head of one attempt.
 
-    A caller of HTTP/1.0 need not name a host, and this request must.
+    HTTP/1.0 callers may omit the host header, which HTTP/1.1 requires.
     """
     headers = (*request.headers, *upstream.headers)
     if not any(name == b'host' for name, _ in headers):
@@ -132,18 +133,18 @@
 
 
 async def _exchange(channel: Channel, body: RequestBody) -> Response:
-    pump = None
+    sender = None
     if body.complete:
         await _send_body(channel, body)
     else:
-        # An upstream may answer before it has read the whole body.
+        # An upstream may respond before it has read the whole body.
         loop = asyncio.get_running_loop()
-        pump = loop.create_task(_send_body(channel, body))
+        sender = loop.create_task(_send_body(channel, body))
     try:
-        return await _read_head(channel, pump)
+        return await _read_head(channel, sender)
     finally:
-        if pump is not None and not pump.done():
-            pump.cancel()
+        if sender is not None and not sender.done():
+            sender.cancel()
 
 
 async def _send_body(channel: Channel, body: RequestBody) -> None:
@@ -155,42 +156,44 @@
 
 async def _read_head(
     channel: Channel,
-    pump: asyncio.Task[None] | None,
+    sender: asyncio.Task[None] | None,
 ) -> Response:
     while True:
-        event = await _next_event(channel, pump)
+        event = await _next_event(channel, sender)
         match event:
             case Response():
                 return event
             case InformationalResponse():
                 continue
-        raise ChannelClosedError('Upstream closed without an answer.')
+        raise ChannelClosedError('Upstream closed before a response.')
 
 
 async def _next_event(
     channel: Channel,
-    pump: asyncio.Task[None] | None,
+    sender: asyncio.Task[None] | None,
 ) -> Event:
-    if pump is None:
+    if sender is None:
         return await channel.next_event()
     reading = asyncio.ensure_future(channel.next_event())
     try:
-        await asyncio.wait({reading, pump}, return_when=asyncio.FIRST_COMPLETED)
-        if pump.done() and pump.exception() is not None:
-            raise pump.exception()
+        await asyncio.wait(
+            {reading, sender}, return_when=asyncio.FIRST_COMPLETED
+        )
+        if sender.done() and sender.exception() is not None:
+            raise sender.exception()
         return await reading
     finally:
         reading.cancel()
 
 
-def _check(
+def _check_request_id(
     request: RouteRequest,
     upstream: Upstream,
     response: Response,
     channel: Channel,
 ) -> AttemptOutcome:
     headers = dict(response.headers)
-    # Servers that name the request they answer are held to it.
+    # A server may echo the request id; then it must be the right one.
     echoed = headers.get(HEADER_REQUEST_ID, request.request_id)
     if echoed != request.request_id:
         channel.abort()
@@ -199,7 +202,7 @@
 
 
 def peer_outcome(head: Head) -> NotRun | Unknown | None:
-    """Return the failure that another process reports, if it is one."""
+    """Return the failure reported by another process, or None."""
     headers = dict(head.response.headers)
     reason = headers.get(HEADER_REASON, b'').decode('ascii', 'replace')
     after = headers.get(HEADER_RETRY_AFTER, b'1')
@@ -207,7 +210,7 @@
     hint = headers.get(HEADER_OWNER, b'').decode('ascii', 'replace')
     match headers.get(HEADER_OUTCOME):
         case b'not-run':
-            return NotRun(_reason(reason), retry_after_s, hint)
+            return NotRun(_parse_reason(reason), retry_after_s, hint)
         case b'unknown':
             timeout = reason == UnknownReason.TIMEOUT
             kind = UnknownReason.TIMEOUT if timeout else UnknownReason.BROKEN
@@ -215,7 +218,7 @@
     return None
 
 
-def _reason(text: str) -> NotRunReason:
+def _parse_reason(text: str) -> NotRunReason:
     try:
         return NotRunReason(text)
     except ValueError:
--- a/plantaingrade/routing/body.py
+++ b/plantaingrade/routing/body.py
@@ -1,4 +1,4 @@
-"""The body of a caller's request, sent on as it arrives."""
+"""Body of a caller's request, forwarded as it arrives."""
 
 from collections.abc import AsyncIterator, Callable
 
@@ -12,29 +12,29 @@
 
 
 class RequestBody:
-    """Stream a body, and keep its start for a second try."""
+    """Streams a body, and keeps it for another attempt if it is small."""
 
-    __slots__ = ('_channel', '_kept', '_size', 'complete')
+    __slots__ = ('_channel', '_size', '_stored_chunks', 'complete')
 
     def __init__(self, channel: Channel) -> None:
-        """Read from the caller's connection."""
+        """Create a body that is read from the caller's connection."""
         self._channel = channel
-        self._kept: list[bytes] = []
+        self._stored_chunks: list[bytes] = []
         self._size = 0
         self.complete = False
 
     @property
     def is_replayable(self) -> bool:
-        """Tell whether all that was read can be sent again."""
+        """Return whether all data read so far can be sent again."""
         return self._size <= MAX_REPLAY_BYTES
 
     async def chunks(
         self,
         before_wait: Callable[[], None],
     ) -> AsyncIterator[bytes]:
-        """Yield what was read before, then what still arrives."""
-        for kept in tuple(self._kept):
-            yield kept
+        """Yield the chunks read before, then those still to arrive."""
+        for stored in tuple(self._stored_chunks):
+            yield stored
         while not self.complete:
             chunk = await self._read(before_wait)
             if chunk:
@@ -43,20 +43,20 @@
     async def _read(self, before_wait: Callable[[], None]) -> bytes:
         conn = self._channel.http
         if conn.awaits_continue:
-            go_on = InformationalResponse(status_code=100, headers=[])
-            self._channel.send(go_on)
+            response = InformationalResponse(status_code=100, headers=[])
+            self._channel.send(response)
         match await self._channel.next_event(before_wait):
             case Data() as event:
-                return self._keep(bytes(event.data))
+                return self._store(bytes(event.data))
             case EndOfMessage():
                 self.complete = True
                 return b''
-        raise ChannelClosedError('Caller broke off.')
+        raise ChannelClosedError('Caller closed the connection.')
 
-    def _keep(self, chunk: bytes) -> bytes:
+    def _store(self, chunk: bytes) -> bytes:
         self._size += len(chunk)
         if self.is_replayable:
-            self._kept.append(chunk)
+            self._stored_chunks.append(chunk)
         else:
-            self._kept.clear()
+            self._stored_chunks.clear()
         return chunk
--- a/plantaingrade/routing/const.py
+++ b/plantaingrade/routing/const.py
@@ -1,10 +1,10 @@
-"""Constants of routing."""
+"""Constants of routing; names state the units."""
 
 CONTROL_PREFIX = b'/-/'
-MAX_TRIES = 6
+MAX_ATTEMPTS = 6
 MAX_REPLAY_BYTES = 65_536
-PAUSE_S = 0.03
+RETRY_PAUSE_S = 0.03
 MAX_TIMEOUT_MS = 60_000
 DEFAULT_TIMEOUT_MS = 10_000
-SILENT_AFTER_S = 1.0
-SUSPECT_FOR_S = 0.5
+UNRESPONSIVE_AFTER_S = 1.0
+SUSPICION_S = 0.5
--- a/plantaingrade/routing/coordinator.py
+++ b/plantaingrade/routing/coordinator.py
@@ -1,4 +1,4 @@
-"""Serve callers: find the owner, try, retry what is safe, answer."""
+"""Serve callers: find the owner, send, retry if safe, respond."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,19 +21,20 @@
     Unknown,
 )
 from plantaingrade.ownership.coordinator import OwnershipCoordinator
-from plantaingrade.routing.attempt import Attempts
+from plantaingrade.routing.attempt import UpstreamClient
 from plantaingrade.routing.entity import LocalTarget, PeerTarget, RetryAfter
 from plantaingrade.routing.exchange import Exchange
 from plantaingrade.routing.local_path import LocalPath
 from plantaingrade.routing.parse import parse_request
 from plantaingrade.routing.peer_path import PeerPath
 from plantaingrade.routing.respond import send_outcome
-from plantaingrade.routing.retry import next_step
+from plantaingrade.routing.retry import decide_retry
 from plantaingrade.routing.targets import TargetChooser
 from plantaingrade.routing.waits import WaitTable
 
-# A redirect is no load on the server: it was refused by its process.
-FREE_OF_BUDGET = frozenset(
+# The process of the server refuses these itself, so a retry adds no load on
+# the server.
+EXEMPT_FROM_BUDGET = frozenset(
     (
         NotRunReason.NOT_OWNER,
         NotRunReason.MOVING,
@@ -43,7 +44,7 @@
 
 
 class RoutingCoordinator:
-    """Route requests on behalf of one member."""
+    """Routes the requests that one member receives."""
 
     __slots__ = (
         '_budget',
@@ -68,15 +69,15 @@
         metrics: Metrics,
         clock: Clock,
     ) -> None:
-        """Join the two paths of one process."""
+        """Create the local path and the peer path."""
         self._state = state
         self._metrics = metrics
         self._clock = clock
         self._budget = RetryBudget()
         self.targets = targets
         self.waits = WaitTable()
-        attempts = Attempts(pool, metrics)
-        self._peers = PeerPath(targets, self.waits, attempts, clock)
+        client = UpstreamClient(pool, metrics)
+        self._peers = PeerPath(targets, self.waits, client, clock)
         self._local = LocalPath(
             row,
             state,
@@ -84,12 +85,12 @@
             backend,
             targets,
             admission,
-            attempts,
+            client,
             clock,
         )
 
     async def async_handle(self, raw: Request, caller: Channel) -> None:
-        """Serve one request."""
+        """Serve one request of a caller or of another process."""
         started = self._clock.now()
         request = parse_request(raw, self._state(), started)
         if isinstance(request, NotRun):
@@ -108,29 +109,31 @@
 
     async def _route(self, exchange: Exchange) -> Outcome:
         while True:
-            outcome = await self._try_once(exchange)
+            outcome = await self._send_once(exchange)
             if isinstance(outcome, Answered):
                 return outcome
-            step = next_step(exchange, outcome, self._clock.now())
-            if isinstance(step, RetryAfter) and self._may_spend(outcome):
+            decision = decide_retry(exchange, outcome, self._clock.now())
+            if isinstance(decision, RetryAfter) and self._is_within_budget(
+                outcome
+            ):
                 self._metrics.on_event(f'retry {outcome.reason}')
-                await asyncio.sleep(step.pause_s)
+                await asyncio.sleep(decision.pause_s)
                 continue
             to_peer = bool(exchange.request.hop)
             send_outcome(exchange.caller, outcome, to_peer=to_peer)
             return outcome
 
-    def _may_spend(self, outcome: NotRun | Unknown) -> bool:
-        return outcome.reason in FREE_OF_BUDGET or self._budget.try_spend()
+    def _is_within_budget(self, outcome: NotRun | Unknown) -> bool:
+        return outcome.reason in EXEMPT_FROM_BUDGET or self._budget.try_spend()
 
-    async def _try_once(self, exchange: Exchange) -> Outcome:
+    async def _send_once(self, exchange: Exchange) -> Outcome:
         if exchange.left_s(self._clock.now()) <= 0:
             return NotRun(NotRunReason.EXPIRED)
-        target = self.targets.choose(exchange.request, exchange.tries)
+        target = self.targets.choose(exchange.request, exchange.retry_state)
         match target:
             case NotRun():
                 return target
             case LocalTarget():
-                return await self._local.async_try(exchange, target)
+                return await self._local.async_send(exchange, target)
             case PeerTarget():
-                return await self._peers.async_try(exchange, target)
+                return await self._peers.async_send(exchange, target)
--- a/plantaingrade/routing/entity.py
+++ b/plantaingrade/routing/entity.py
@@ -1,4 +1,4 @@
-"""Requests on their way, and where to send them."""
+"""Requests in progress and their targets."""
 
 from msgspec import Struct
 
@@ -27,13 +27,13 @@
 
 
 class LocalTarget(Struct, frozen=True):
-    """The backend server beside this process."""
+    """The backend server of this process."""
 
     owned: Owned | None
 
 
 class PeerTarget(Struct, frozen=True):
-    """Another process."""
+    """Another process, which serves the request or refuses it."""
 
     member: str
     address: str
@@ -43,7 +43,7 @@
 
 
 class Head(Struct, frozen=True):
-    """The head of an answer has come; its body follows on the channel."""
+    """Head of a response; its body follows on the channel."""
 
     response: Response
     channel: Channel
@@ -52,13 +52,13 @@
 
 
 class RetryAfter(Struct, frozen=True):
-    """Try again after a pause."""
+    """Retry after a pause."""
 
     pause_s: float
 
 
-class GiveUp(Struct, frozen=True):
-    """Answer the caller now."""
+class ReturnFailure(Struct, frozen=True):
+    """Return the failure to the caller."""
 
 
-NextStep = RetryAfter | GiveUp
+RetryDecision = RetryAfter | ReturnFailure
--- a/plantaingrade/routing/exchange.py
+++ b/plantaingrade/routing/exchange.py
@@ -1,4 +1,4 @@
-"""One caller's request while it is being served."""
+"""A caller's request while it is served."""
 
 from dataclasses import dataclass, field
 
@@ -8,32 +8,32 @@
 from plantaingrade.routing.body import RequestBody
 from plantaingrade.routing.entity import Head, Headers, RouteRequest
 from plantaingrade.routing.relay import relay
-from plantaingrade.routing.targets import Tries
+from plantaingrade.routing.targets import RetryState
 
 
 @dataclass(slots=True)
 class Exchange:
-    """A request, its body, the caller it came from, and the tries so far."""
+    """A request, its body, its caller and the state of its retries."""
 
     request: RouteRequest
     caller: Channel
     body: RequestBody = field(init=False)
-    tries: Tries = field(default_factory=Tries)
+    retry_state: RetryState = field(default_factory=RetryState)
 
     def __post_init__(self) -> None:
-        """Read the body from the caller."""
+        """Create the body, which is read from the caller."""
         self.body = RequestBody(self.caller)
 
     def left_s(self, now: float) -> float:
-        """Return the seconds until the caller's deadline."""
+        """Return the seconds left until the caller's deadline."""
         return self.request.deadline - now
 
-    async def async_answer(
+    async def async_respond(
         self,
         pool: Pool,
         head: Head,
         replaced: Headers,
     ) -> Outcome:
-        """Pass the upstream's answer on to the caller."""
+        """Forward the upstream's response to the caller."""
         await relay(pool, head, self.caller, replaced)
         return Answered(head.response.status_code, head.direct)
--- a/plantaingrade/routing/local_path.py
+++ b/plantaingrade/routing/local_path.py
@@ -1,4 +1,4 @@
-"""The path to the backend server beside this process."""
+"""Path of requests to the backend server of this process."""
 
 import asyncio
 from collections.abc import Callable, Iterator
@@ -32,7 +32,11 @@
 )
 from plantaingrade.ownership.coordinator import OwnershipCoordinator
 from plantaingrade.ownership.entity import Owned
-from plantaingrade.routing.attempt import AttemptOutcome, Attempts, Upstream
+from plantaingrade.routing.attempt import (
+    AttemptOutcome,
+    Upstream,
+    UpstreamClient,
+)
 from plantaingrade.routing.entity import (
     Head,
     Headers,
@@ -42,22 +46,22 @@
 )
 from plantaingrade.routing.exchange import Exchange
 from plantaingrade.routing.relay import discard
-from plantaingrade.routing.targets import TargetChooser, Tries
+from plantaingrade.routing.targets import RetryState, TargetChooser
 
 
-class WorkNote(Struct):
-    """Whether a piece of work is known to have ended."""
+class WorkState(Struct):
+    """Whether a request is known to run no longer."""
 
     ended: bool = False
 
 
 class LocalPath:
-    """Run requests on the own backend server, under fence and deadline."""
+    """Sends requests to the own backend server, with fence and deadline."""
 
     __slots__ = (
         '_admission',
-        '_attempts',
         '_backend',
+        '_client',
         '_clock',
         '_ownership',
         '_row',
@@ -73,23 +77,23 @@
         backend: BackendCoordinator,
         targets: TargetChooser,
         admission: AdmissionQueue,
-        attempts: Attempts,
+        client: UpstreamClient,
         clock: Clock,
     ) -> None:
-        """Use the parts of one process."""
+        """Create the path from the components of one process."""
         self._row = row
         self._state = state
         self._ownership = ownership
         self._backend = backend
         self._targets = targets
         self._admission = admission
-        self._attempts = attempts
+        self._client = client
         self._clock = clock
 
-    async def async_try(
+    async def async_send(
         self, exchange: Exchange, target: LocalTarget
     ) -> Outcome:
-        """Wait for a slot, run the request, pass the answer on."""
+        """Wait for a slot, send the request and forward the response."""
         waiting = True
         request_class = exchange.request.request_class
         try:
@@ -102,14 +106,14 @@
         except TimeoutError:
             if waiting:
                 return NotRun(NotRunReason.EXPIRED)
-            self._attempts.distrust(self._backend.address)
+            self._client.on_unresponsive(self._backend.address)
             return Unknown(UnknownReason.TIMEOUT)
 
     async def _run(self, exchange: Exchange, target: LocalTarget) -> Outcome:
         request = exchange.request
         if target.owned is not None:
-            # The slice may have gone while the request waited for a slot.
-            choice = self._targets.choose(request, Tries())
+            # The slice may have moved while the request waited for a slot.
+            choice = self._targets.choose(request, RetryState())
             if isinstance(choice, NotRun):
                 return choice
             if isinstance(choice, PeerTarget):
@@ -117,14 +121,14 @@
             target = choice
         owned = target.owned
         deadline = self._work_deadline(request, owned)
-        with self._working(owned, deadline) as work:
+        with self._track_work(owned, deadline) as work:
             work.ended = request.is_safe
             upstream = Upstream(
                 self._backend.address,
-                _order_headers(request, owned, deadline),
+                _request_headers(request, owned, deadline),
                 direct=True,
             )
-            head = await self._attempts.async_try(
+            head = await self._client.async_send(
                 upstream,
                 request,
                 exchange.body,
@@ -135,19 +139,19 @@
             return outcome
 
     @contextmanager
-    def _working(
+    def _track_work(
         self,
         owned: Owned | None,
         deadline: float,
-    ) -> Iterator[WorkNote]:
-        note = WorkNote()
+    ) -> Iterator[WorkState]:
+        work = WorkState()
         slice_id = '' if owned is None else owned.slice_id
         table = self._ownership.work
         table.begin(slice_id)
         try:
-            yield note
+            yield work
         finally:
-            may_run_until = None if note.ended else deadline
+            may_run_until = None if work.ended else deadline
             table.end(slice_id, may_run_until=may_run_until)
 
     def _work_deadline(
@@ -155,11 +159,11 @@
         request: RouteRequest,
         owned: Owned | None,
     ) -> float:
-        """Return until when the backend server may work on the request.
+        """Return the time until which the backend server may run the request.
 
-        The process may pause between its check of the lease and the sending.
-        Work that changes state ends with the lease, on the clock that process
-        and server share; the successor waits out the declared grace.
+        The process may pause between checking the lease and sending. Requests
+        that change state end with the lease plus the declared grace, by the
+        clock shared by process and server; the successor waits out the grace.
         """
         if owned is None or request.is_safe or self._row.checks_fence:
             return request.deadline
@@ -181,11 +185,11 @@
             response.status_code,
             dict(response.headers),
         )
-        pool = self._attempts.pool
+        pool = self._client.pool
         match verdict:
             case Ran():
-                replaced = self._answer_headers(owned)
-                return await exchange.async_answer(pool, head, replaced)
+                replaced = self._response_headers(owned)
+                return await exchange.async_respond(pool, head, replaced)
             case Shed():
                 await discard(pool, head)
                 return NotRun(NotRunReason.SHED)
@@ -193,7 +197,7 @@
                 await discard(pool, head)
                 return NotRun(NotRunReason.STALE_FENCE)
 
-    def _answer_headers(self, owned: Owned | None) -> Headers:
+    def _response_headers(self, owned: Owned | None) -> Headers:
         headers = [
             (HEADER_OUTCOME, b'answered'),
             (HEADER_OWNER, self._row.http.encode()),
@@ -205,12 +209,12 @@
         return tuple(headers)
 
 
-def _order_headers(
+def _request_headers(
     request: RouteRequest,
     owned: Owned | None,
     deadline: float,
 ) -> Headers:
-    """Return what the backend server is told about who gives the order."""
+    """Return the headers with the deadline and the proof of ownership."""
     headers = [
         (HEADER_REQUEST_ID, request.request_id),
         (HEADER_DEADLINE, b'%.6f' % deadline),
--- a/plantaingrade/routing/parse.py
+++ b/plantaingrade/routing/parse.py
@@ -1,4 +1,4 @@
-"""Validate requests at the edge."""
+"""Validate incoming requests and convert them to typed form."""
 
 import os
 from collections.abc import Iterable
@@ -29,7 +29,7 @@
 
 MAX_HOP = 1
 REQUEST_ID_BYTES = 12
-SET_HERE = frozenset(
+GENERATED_HEADERS = frozenset(
     (
         HEADER_REQUEST_ID,
         HEADER_TIMEOUT_MS,
@@ -47,10 +47,10 @@
     state: MapState,
     now: float,
 ) -> RouteRequest | NotRun:
-    """Return the request in typed form, or why it was refused.
+    """Return the request in typed form, or the reason for refusing it.
 
-    The target is ``/<service>/<key>[/...]``; services that are not divided by
-    key also take ``/<service>``.
+    The target is ``/<service>/<key>[/...]``; services that are not keyed also
+    accept ``/<service>``.
     """
     headers = dict(raw.headers)
     path = raw.target.split(b'?', 1)[0].decode('ascii', 'replace')
@@ -62,8 +62,8 @@
     key = unquote(rest.partition('/')[0])
     if service.keyed and not key:
         return NotRun(NotRunReason.MISSING_KEY)
-    timeout_ms = _whole(headers.get(HEADER_TIMEOUT_MS), DEFAULT_TIMEOUT_MS)
-    hop = _whole(headers.get(HEADER_HOP), 0)
+    timeout_ms = _parse_int(headers.get(HEADER_TIMEOUT_MS), DEFAULT_TIMEOUT_MS)
+    hop = _parse_int(headers.get(HEADER_HOP), 0)
     if timeout_ms is None or hop is None:
         return NotRun(NotRunReason.BAD_REQUEST)
     if timeout_ms <= 0:
@@ -74,33 +74,36 @@
         key=key,
         method=raw.method,
         target=raw.target,
-        tenant=_known(headers.get(HEADER_TENANT), service.tenants),
+        tenant=_known_tenant(headers.get(HEADER_TENANT), service.tenants),
         request_class=_known_class(headers.get(HEADER_CLASS)),
         deadline=now + min(timeout_ms, MAX_TIMEOUT_MS) / MS_PER_S,
         hop=min(hop, MAX_HOP),
-        headers=forwardable(raw.headers, SET_HERE) + _framing(headers),
+        headers=forwardable_headers(raw.headers, GENERATED_HEADERS)
+        + _framing(headers),
         is_safe=raw.method in SAFE_METHODS,
         is_idempotent=raw.method in IDEMPOTENT_METHODS,
     )
 
 
 def _framing(headers: dict[bytes, bytes]) -> Headers:
-    # A body of unknown length goes on in chunks, as it came.
+    # A body of unknown length is forwarded in chunks, as it was received.
     if b'transfer-encoding' in headers:
         return ((b'transfer-encoding', b'chunked'),)
     return ()
 
 
-def forwardable(
+def forwardable_headers(
     headers: Iterable[tuple[bytes, bytes]],
     dropped: frozenset[bytes],
 ) -> Headers:
-    """Return the headers that go on to the next hop."""
-    named: frozenset[bytes] = frozenset()
+    """Return the headers to forward: not hop-by-hop and not dropped."""
+    connection_headers: frozenset[bytes] = frozenset()
     for name, text in headers:
         if name == b'connection':
-            named |= {word.strip().lower() for word in text.split(b',')}
-    skipped = HOP_BY_HOP | dropped | named
+            connection_headers |= {
+                token.strip().lower() for token in text.split(b',')
+            }
+    skipped = HOP_BY_HOP | dropped | connection_headers
     return tuple((name, text) for name, text in headers if name not in skipped)
 
 
@@ -108,7 +111,7 @@
     return os.urandom(REQUEST_ID_BYTES).hex().encode()
 
 
-def _whole(raw: bytes | None, default: int) -> int | None:
+def _parse_int(raw: bytes | None, default: int) -> int | None:
     if raw is None:
         return default
     try:
@@ -117,9 +120,9 @@
         return None
 
 
-def _known(raw: bytes | None, tenants: tuple[str, ...]) -> str:
-    # Tenants label histograms: a label that callers can make up freely would
-    # let them fill the memory of the process.
+def _known_tenant(raw: bytes | None, tenants: tuple[str, ...]) -> str:
+    # Tenants are labels of histograms: callers that could choose them freely
+    # could exhaust the memory of the process.
     name = (raw or b'').decode('ascii', 'replace')
     return name if name in tenants else TENANT_OTHER
 
--- a/plantaingrade/routing/peer_path.py
+++ b/plantaingrade/routing/peer_path.py
@@ -1,4 +1,4 @@
-"""The path to another process."""
+"""Path of requests to other processes."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
     Unknown,
     UnknownReason,
 )
-from plantaingrade.routing.attempt import Attempts, Upstream, peer_outcome
+from plantaingrade.routing.attempt import Upstream, UpstreamClient, peer_outcome
 from plantaingrade.routing.entity import Head, PeerTarget, RouteRequest
 from plantaingrade.routing.exchange import Exchange
 from plantaingrade.routing.relay import discard
@@ -25,34 +25,34 @@
 
 
 class PeerPath:
-    """Forward requests to the processes that own their keys."""
+    """Forwards requests to the processes that own their keys."""
 
-    __slots__ = ('_attempts', '_clock', '_targets', '_waits')
+    __slots__ = ('_client', '_clock', '_targets', '_waits')
 
     def __init__(
         self,
         targets: TargetChooser,
         waits: WaitTable,
-        attempts: Attempts,
+        client: UpstreamClient,
         clock: Clock,
     ) -> None:
-        """Use the parts of one process."""
+        """Create the path from the components of one process."""
         self._targets = targets
         self._waits = waits
-        self._attempts = attempts
+        self._client = client
         self._clock = clock
 
-    async def async_try(
+    async def async_send(
         self, exchange: Exchange, target: PeerTarget
     ) -> Outcome:
-        """Forward the request, pass the answer on, learn from a failure."""
+        """Forward the request and its response; record a failure."""
         self._targets.begin(target.member)
         try:
             outcome = await self._forward(exchange, target)
         finally:
             self._targets.end(target.member)
         if isinstance(outcome, NotRun | Unknown):
-            self._learn(exchange, target, outcome)
+            self._record_failure(exchange, target, outcome)
         return outcome
 
     async def _forward(
@@ -64,9 +64,9 @@
         left_s = exchange.left_s(self._clock.now())
         upstream = _upstream(target, request, left_s)
         try:
-            async with asyncio.timeout(left_s) as limit:
-                with self._waits.waiting(target.member, limit):
-                    head = await self._attempts.async_try(
+            async with asyncio.timeout(left_s) as timeout:
+                with self._waits.track(target.member, timeout):
+                    head = await self._client.async_send(
                         upstream,
                         request,
                         exchange.body,
@@ -76,33 +76,33 @@
                     return await self._finish(exchange, head)
                 return head
         except TimeoutError:
-            self._attempts.distrust(target.address)
+            self._client.on_unresponsive(target.address)
             return Unknown(UnknownReason.TIMEOUT)
 
     async def _finish(self, exchange: Exchange, head: Head) -> Outcome:
-        pool = self._attempts.pool
+        pool = self._client.pool
         failure = peer_outcome(head)
         if failure is None:
-            return await exchange.async_answer(pool, head, ())
+            return await exchange.async_respond(pool, head, ())
         await discard(pool, head)
         return failure
 
-    def _learn(
+    def _record_failure(
         self,
         exchange: Exchange,
         target: PeerTarget,
         outcome: NotRun | Unknown,
     ) -> None:
-        tries = exchange.tries
+        retry_state = exchange.retry_state
         match outcome:
             case NotRun(reason=NotRunReason.NOT_OWNER, owner_hint=hint):
-                tries.hint = '' if hint == target.address else hint
+                retry_state.hint = '' if hint == target.address else hint
                 return
             case NotRun(reason=NotRunReason.CONNECT_FAILED):
                 self._targets.suspect(target.member)
             case Unknown(reason=UnknownReason.BROKEN):
                 self._targets.suspect(target.member)
-        tries.avoided.add(target.member)
+        retry_state.excluded.add(target.member)
 
 
 def _upstream(
--- a/plantaingrade/routing/relay.py
+++ b/plantaingrade/routing/relay.py
@@ -1,11 +1,11 @@
-"""Pass an answer's body on to the caller."""
+"""Forward a response to the caller."""
 
 from plantaingrade.http.channel import Channel, ChannelClosedError
 from plantaingrade.http.client import read_body
 from plantaingrade.http.messages import Data, EndOfMessage, Response
 from plantaingrade.http.pool import Pool
 from plantaingrade.routing.entity import Head, Headers
-from plantaingrade.routing.parse import forwardable
+from plantaingrade.routing.parse import forwardable_headers
 
 
 async def relay(
@@ -14,13 +14,13 @@
     caller: Channel,
     replaced: Headers,
 ) -> None:
-    """Send the whole answer, or break the caller's connection off.
+    """Forward the whole response, or abort the caller's connection.
 
     Raises:
-        ChannelClosedError: either side broke off before the end.
+        ChannelClosedError: either side closed the connection early.
     """
     names = frozenset(name for name, _ in replaced)
-    headers = [*forwardable(head.response.headers, names), *replaced]
+    headers = [*forwardable_headers(head.response.headers, names), *replaced]
     try:
         caller.send(
             Response(
@@ -31,8 +31,8 @@
         )
         await _relay_body(head.channel, caller)
     except BaseException:
-        # Without the final chunk or the full length the caller's library knows
-        # the answer for broken.
+        # Without the final chunk or the full length, the caller's HTTP library
+        # detects that the response is incomplete.
         caller.abort()
         head.channel.abort()
         raise
@@ -49,11 +49,11 @@
                 caller.send(EndOfMessage())
                 return
             case _:
-                raise ChannelClosedError('Answer broken off.')
+                raise ChannelClosedError('Upstream closed during a response.')
 
 
 async def discard(pool: Pool, head: Head) -> None:
-    """Read an answer that is not passed on, to keep its connection."""
+    """Read and drop a response, so that its connection can be reused."""
     try:
         await read_body(head.channel)
     except ChannelClosedError:
--- a/plantaingrade/routing/targets.py
+++ b/plantaingrade/routing/targets.py
@@ -1,4 +1,4 @@
-"""Choose where the next try of a request goes."""
+"""Choose the target of the next attempt of a request."""
 
 import random
 from collections import Counter
@@ -16,7 +16,7 @@
     OwnedElsewhere,
     Unowned,
 )
-from plantaingrade.routing.const import SUSPECT_FOR_S
+from plantaingrade.routing.const import SUSPICION_S
 from plantaingrade.routing.entity import (
     LocalTarget,
     PeerTarget,
@@ -25,22 +25,22 @@
 )
 
 
-class Tries(Struct):
-    """What the earlier tries of one request have shown."""
+class RetryState(Struct):
+    """Results of the earlier attempts of one request."""
 
-    count: int = 0
+    attempts: int = 0
     hint: str = ''
-    avoided: set[str] = field(default_factory=set)
+    excluded: set[str] = field(default_factory=set)
 
-    def take_hint(self) -> str:
-        """Return the hint of the last try, once."""
+    def pop_hint(self) -> str:
+        """Return and clear the owner hint of the last attempt."""
         hint = self.hint
         self.hint = ''
         return hint
 
 
 class TargetChooser:
-    """Know owners, suspects and the load of peers."""
+    """Chooses targets by owner, suspicion and load of the peers."""
 
     __slots__ = (
         '_accepts_work',
@@ -62,7 +62,7 @@
         accepts_work: Callable[[], bool],
         draining: set[str],
     ) -> None:
-        """Choose on behalf of one member."""
+        """Create a chooser for one member."""
         self._row = row
         self._state = state
         self._ownership = ownership
@@ -72,10 +72,12 @@
         self._suspect_until: dict[str, float] = {}
         self._in_flight: Counter[str] = Counter()
 
-    def choose(self, request: RouteRequest, tries: Tries) -> Target | NotRun:
-        """Return the target of the next try, or why there is none."""
+    def choose(
+        self, request: RouteRequest, retry_state: RetryState
+    ) -> Target | NotRun:
+        """Return the target of the next attempt, or why there is none."""
         if not request.key:
-            return self._choose_any(request, tries)
+            return self._choose_any(request, retry_state)
         ownership = self._ownership.find(request.service, request.key)
         match ownership:
             case Owned(slice_id=slice_id):
@@ -83,7 +85,7 @@
                     return NotRun(NotRunReason.MOVING)
                 return LocalTarget(ownership)
             case OwnedElsewhere():
-                return self._choose_owner(request, tries, ownership)
+                return self._choose_owner(request, retry_state, ownership)
             case LeaseLapsed():
                 return NotRun(NotRunReason.LEASE_LAPSED)
             case Unowned():
@@ -91,15 +93,15 @@
         return NotRun(NotRunReason.UNKNOWN_SERVICE)
 
     def suspect(self, member: str) -> None:
-        """Try a member's successor first for a moment."""
-        self._suspect_until[member] = self._clock.now() + SUSPECT_FOR_S
+        """Suspect a member for a short time; its successor is tried first."""
+        self._suspect_until[member] = self._clock.now() + SUSPICION_S
 
     def begin(self, member: str) -> None:
-        """Count a request on its way to a peer."""
+        """Count a request as in flight to a peer."""
         self._in_flight[member] += 1
 
     def end(self, member: str) -> None:
-        """Count a request as back from a peer."""
+        """Count a request to a peer as finished."""
         self._in_flight[member] -= 1
         if not self._in_flight[member]:
             self._in_flight.pop(member)
@@ -107,7 +109,7 @@
     def _choose_owner(
         self,
         request: RouteRequest,
-        tries: Tries,
+        retry_state: RetryState,
         ownership: OwnedElsewhere,
     ) -> Target | NotRun:
         members = self._state().members
@@ -115,40 +117,43 @@
         if request.hop:
             hint = '' if owner is None else owner.http
             return NotRun(NotRunReason.NOT_OWNER, owner_hint=hint)
-        hint = tries.take_hint()
+        hint = retry_state.pop_hint()
         if hint and hint != self._row.http:
-            # A hint is good for one try; the owner itself decides.
+            # A hint is valid for one attempt; the owner itself decides.
             return PeerTarget('', hint)
         candidates = [owner, members.get(ownership.successor or '')]
-        if self._suspected(owner):
-            # One broken connection is no proof: the owner is tried last.
+        if self._is_suspect(owner):
+            # A broken connection proves no failure: the owner is tried last.
             candidates.reverse()
         for row in candidates:
-            if row is not None and self._may_ask(row, tries):
+            if row is not None and self._is_candidate(row, retry_state):
                 return PeerTarget(row.member, row.http)
         return NotRun(NotRunReason.NO_OWNER)
 
-    def _may_ask(self, row: MemberRow, tries: Tries) -> bool:
-        # The successor refuses at once while it waits out the grace, and the
-        # caller can come back; who asks the frozen owner waits until its
-        # deadline.
+    def _is_candidate(self, row: MemberRow, retry_state: RetryState) -> bool:
+        # While the successor waits for the end of the grace, it refuses at once
+        # and the caller can retry. A request to a frozen owner would wait until
+        # its deadline.
         if row.state is MemberState.OVER:
             return False
-        return row.member not in tries.avoided | {self._row.member}
+        return row.member not in retry_state.excluded | {self._row.member}
 
     def _choose_any(
         self,
         request: RouteRequest,
-        tries: Tries,
+        retry_state: RetryState,
     ) -> Target | NotRun:
-        local = self._row.service == request.service and self._accepts_work()
+        accepts_locally = (
+            self._row.service == request.service and self._accepts_work()
+        )
         if request.hop:
             refusal = NotRun(NotRunReason.DRAINING)
-            return LocalTarget(None) if local else refusal
+            return LocalTarget(None) if accepts_locally else refusal
         candidates = [
             row
             for row in self._state().members.values()
-            if row.service == request.service and self._may_serve(row, tries)
+            if row.service == request.service
+            and self._may_serve(row, retry_state)
         ]
         if not candidates:
             return NotRun(NotRunReason.NOT_READY)
@@ -158,20 +163,22 @@
             return LocalTarget(None)
         return PeerTarget(best.member, best.http)
 
-    def _may_serve(self, row: MemberRow, tries: Tries) -> bool:
+    def _may_serve(self, row: MemberRow, retry_state: RetryState) -> bool:
         if row.member == self._row.member:
-            fit = self._accepts_work()
+            is_available = self._accepts_work()
         else:
-            fit = row.member not in self._draining and not self._suspected(row)
+            is_available = (
+                row.member not in self._draining and not self._is_suspect(row)
+            )
         ready = row.state is MemberState.READY
-        return fit and ready and row.member not in tries.avoided
+        return is_available and ready and row.member not in retry_state.excluded
 
     def _load(self, row: MemberRow) -> float:
         if row.member == self._row.member:
             return self._ownership.work.total() / row.slots
         return self._in_flight[row.member] / row.slots
 
-    def _suspected(self, row: MemberRow | None) -> bool:
+    def _is_suspect(self, row: MemberRow | None) -> bool:
         if row is None:
             return True
         until = self._suspect_until.get(row.member)
--- a/plantaingrade/routing/waits.py
+++ b/plantaingrade/routing/waits.py
@@ -1,4 +1,4 @@
-"""Tries that wait for the first byte of another process's answer."""
+"""Requests that wait for the response head of another process."""
 
 import asyncio
 from collections import defaultdict
@@ -9,37 +9,37 @@
 
 
 class WaitTable:
-    """End the waiting for members that the journal shows to be over.
+    """Ends waits for members whose lease has ended by the journal.
 
-    Once the lease of a process is proven over, its answer is given up on: it
-    may be frozen, and the key served elsewhere.
+    Such a member may be frozen, and its keys may have another owner, so its
+    response is no longer waited for.
     """
 
-    __slots__ = ('_limits_by_member',)
+    __slots__ = ('_timeouts_by_member',)
 
     def __init__(self) -> None:
-        """Start without waits."""
-        self._limits_by_member: dict[str, set[asyncio.Timeout]] = defaultdict(
+        """Create an empty table."""
+        self._timeouts_by_member: dict[str, set[asyncio.Timeout]] = defaultdict(
             set,
         )
 
     @contextmanager
-    def waiting(self, member: str, limit: asyncio.Timeout) -> Iterator[None]:
-        """Let the limit end early if the member is over."""
-        limits = self._limits_by_member[member]
-        limits.add(limit)
+    def track(self, member: str, timeout: asyncio.Timeout) -> Iterator[None]:
+        """Expire the timeout early if the lease of the member ends."""
+        timeouts = self._timeouts_by_member[member]
+        timeouts.add(timeout)
         try:
             yield
         finally:
-            limits.discard(limit)
+            timeouts.discard(timeout)
 
     def on_record(self, record: Record, _: list[ChangeOutcome]) -> None:
-        """End waits as the journal tells."""
+        """End the waits for members that the record ends."""
         for change in record.changes:
             if isinstance(change, Ended):
-                self._end(change.member)
+                self._expire(change.member)
 
-    def _end(self, member: str) -> None:
+    def _expire(self, member: str) -> None:
         now = asyncio.get_running_loop().time()
-        for limit in self._limits_by_member.pop(member, ()):
-            limit.reschedule(now)
+        for timeout in self._timeouts_by_member.pop(member, ()):
+            timeout.reschedule(now)
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -145,8 +145,8 @@
     Guard(
         'unknown outcomes of other than idempotent work are final',
         'plantaingrade/routing/retry.py',
-        'again = request.is_idempotent and not request.hop',
-        'again = True',
+        'may_repeat = request.is_idempotent and not request.hop',
+        'may_repeat = True',
         'tests/routing',
     ),
     Guard(
