--- a/plantaingrade/node/components.py
+++ b/plantaingrade/node/components.py
@@ -20,7 +20,7 @@
     MemberRow,
     MemberState,
     Record,
-    Witnessed,
+    WitnessesReplaced,
 )
 from plantaingrade.leases.coordinator import LeaseCoordinator
 from plantaingrade.membership.coordinator import MembershipCoordinator
@@ -161,7 +161,7 @@
             send,
             self.leases.expires_at,
         )
-        self.journal.listen(self._on_record)
+        self.journal.add_listener(self._on_record)
         self.membership = MembershipCoordinator(
             self.journal,
             self.endpoint,
@@ -201,7 +201,7 @@
             self.metrics,
             self.clock,
         )
-        self.journal.listen(self.router.waits.on_record)
+        self.journal.add_listener(self.router.waits.on_record)
 
     def _on_datagram(self, message: Any) -> None:
         match message:
@@ -218,10 +218,10 @@
         self.ownership.on_record(record, outcomes)
         self.leases.forget_ended()
         for change in record.changes:
-            is_witnessed = isinstance(change, Witnessed)
+            is_witnessed = isinstance(change, WitnessesReplaced)
             if is_witnessed and change.member == self.row.member:
                 self._update_witnesses(change)
 
-    def _update_witnesses(self, change: Witnessed) -> None:
+    def _update_witnesses(self, change: WitnessesReplaced) -> None:
         if change.epoch > self.row.epoch:
             self.leases.on_new_epoch(change.epoch, change.witnesses)
--- a/plantaingrade/ownership/coordinator.py
+++ b/plantaingrade/ownership/coordinator.py
@@ -9,18 +9,18 @@
 from plantaingrade.clock import Clock
 from plantaingrade.const import MS_PER_S
 from plantaingrade.journal.entity import (
-    Carved,
     Change,
     ChangeOutcome,
     Ended,
+    HotKeySplit,
     MapState,
     MemberRow,
     MemberState,
     Proof,
     Record,
-    Renounced,
     SliceRow,
-    Took,
+    SuccessorWithdrawn,
+    TakenOver,
 )
 from plantaingrade.journal.keys import find_slice, is_hot, parent_slice_id
 from plantaingrade.leases.const import LEASE_S, MAX_CLOCK_DRIFT
@@ -148,7 +148,7 @@
         """Handle one record; must be called before the next is applied."""
         state = self._state()
         for change in record.changes:
-            if isinstance(change, Carved):
+            if isinstance(change, HotKeySplit):
                 self._release_carved_key(state, change)
         self.table.drop_recorded(state)
         self._schedule_takeovers(state)
@@ -247,7 +247,7 @@
         taken = [
             change.slice_id
             for change in self._pending
-            if isinstance(change, Took)
+            if isinstance(change, TakenOver)
         ]
         named = name_own_successors(
             state,
@@ -362,7 +362,7 @@
 
     def _record_takeover(self, part: SliceRow) -> None:
         self.takeovers += 1
-        took = Took(part.slice_id, self._row.member, part.successor_fence)
+        took = TakenOver(part.slice_id, self._row.member, part.successor_fence)
         self._pending[took] = None
 
     def _renounce_replaced(self, state: MapState) -> None:
@@ -370,14 +370,14 @@
             if part.next_successor is None:
                 continue
             if part.successor == self._row.member and self.table.renounce(part):
-                renounced = Renounced(
+                renounced = SuccessorWithdrawn(
                     part.slice_id,
                     self._row.member,
                     part.successor_fence,
                 )
                 self._pending[renounced] = None
 
-    def _release_carved_key(self, state: MapState, carved: Carved) -> None:
+    def _release_carved_key(self, state: MapState, carved: HotKeySplit) -> None:
         part = find_slice(state, carved.service, carved.key)
         if part is None or part.owner != self._row.member:
             return
@@ -394,10 +394,10 @@
             row = state.members.get(member)
             is_alive = row is not None and row.state is not MemberState.OVER
             return is_alive and row.epoch == epoch
-        case Took(slice_id=slice_id, fence=fence):
+        case TakenOver(slice_id=slice_id, fence=fence):
             part = state.slices.get(slice_id)
             return part is not None and part.successor_fence == fence
-        case Renounced(slice_id=slice_id, fence=fence):
+        case SuccessorWithdrawn(slice_id=slice_id, fence=fence):
             part = state.slices.get(slice_id)
             return part is not None and part.successor_fence == fence
     return False
--- a/plantaingrade/placement/policy.py
+++ b/plantaingrade/placement/policy.py
@@ -11,18 +11,18 @@
 
 from msgspec.structs import replace
 
-from plantaingrade.journal.checks import is_eligible, is_over
+from plantaingrade.journal.checks import has_ended, is_eligible
 from plantaingrade.journal.entity import (
     Assigned,
     Change,
     MapState,
     MemberRow,
     MemberState,
-    Moving,
-    OwnerWished,
+    MoveStarted,
+    OwnerRequested,
     SliceRow,
     SuccessorNamed,
-    SuccessorWished,
+    SuccessorRequested,
 )
 from plantaingrade.placement.const import (
     BALANCE_ID,
@@ -190,12 +190,12 @@
         )
         if not is_stable or slice_row.successor is None:
             continue
-        if is_over(view.state, slice_row.owner):
+        if has_ended(view.state, slice_row.owner):
             continue
         wanted = _wanted_successor(view, slice_row)
         if wanted is not None:
             view.add_successor(slice_row, wanted)
-            yield SuccessorWished(slice_row.slice_id, wanted)
+            yield SuccessorRequested(slice_row.slice_id, wanted)
 
 
 def _wanted_successor(view: ServiceView, slice_row: SliceRow) -> str | None:
@@ -213,16 +213,16 @@
         if not _can_move(view, slice_row):
             continue
         if slice_row.wanted_owner == slice_row.successor:
-            yield Moving(slice_row.slice_id, slice_row.wanted_by)
+            yield MoveStarted(slice_row.slice_id, slice_row.wanted_by)
         elif _must_move_away(view, slice_row):
-            yield Moving(slice_row.slice_id, DRAIN_ID)
+            yield MoveStarted(slice_row.slice_id, DRAIN_ID)
 
 
 def _can_move(view: ServiceView, slice_row: SliceRow) -> bool:
     """Return whether the slice can be transferred to its successor now."""
     if slice_row.moving is not None or slice_row.next_successor is not None:
         return False
-    if slice_row.owner is None or is_over(view.state, slice_row.owner):
+    if slice_row.owner is None or has_ended(view.state, slice_row.owner):
         return False
     return is_eligible(view.state, slice_row.successor)
 
@@ -250,7 +250,7 @@
             return
         view.owned_by_member[high.member] -= 1
         view.owned_by_member[low.member] += 1
-        change = OwnerWished(slice_row.slice_id, low.member, BALANCE_ID)
+        change = OwnerRequested(slice_row.slice_id, low.member, BALANCE_ID)
         yield change
 
 
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -88,7 +88,7 @@
     Guard(
         'a renunciation is of one naming',
         'plantaingrade/journal/slice_rules.py',
-        'if part.successor_fence != change.fence:\n        return STALE\n'
+        'if slice_row.successor_fence != change.fence:\n        return STALE\n'
         '    wanted',
         'wanted',
         'tests/ownership/test_table.py',
@@ -145,8 +145,8 @@
     Guard(
         'unknown outcomes of other than idempotent work are final',
         'plantaingrade/routing/retry.py',
-        'again = request.is_idempotent and not request.hop',
-        'again = True',
+        'may_repeat = request.is_idempotent and not request.hop',
+        'may_repeat = True',
         'tests/routing',
     ),
     Guard(
@@ -271,7 +271,7 @@
     Guard(
         'waits are short while the store is in doubt',
         'plantaingrade/config/coordinator.py',
-        'if self._has_doubt:',
+        'if self._last_wait_failed:',
         'if False:',
         'tests/config',
     ),
--- a/tests/ownership/test_takeover.py
+++ b/tests/ownership/test_takeover.py
@@ -3,16 +3,16 @@
 import pytest
 
 from plantaingrade.journal.entity import (
-    Carved,
     Ended,
+    HotKeySplit,
     MemberState,
-    Moving,
-    OwnerWished,
+    MoveStarted,
+    OwnerRequested,
     Proof,
-    Renounced,
     StateSet,
     SuccessorNamed,
-    Witnessed,
+    SuccessorWithdrawn,
+    WitnessesReplaced,
 )
 from plantaingrade.journal.keys import hot_slice_id, slice_index
 from plantaingrade.leases.const import LEASE_S
@@ -225,7 +225,7 @@
         for member in cluster.members
         if member.name not in {part.owner, part.successor}
     )
-    owner.append(OwnerWished(SLICE, target.name, 'c1'))
+    owner.append(OwnerRequested(SLICE, target.name, 'c1'))
     cluster.until(lambda: cluster.owner_of(SLICE) is target, 2)
 
 
@@ -248,7 +248,7 @@
         for member in cluster.members
         if member.name not in {part.owner, part.successor}
     )
-    owner.append(OwnerWished(SLICE, target.name, 'c1'))
+    owner.append(OwnerRequested(SLICE, target.name, 'c1'))
     cluster.run(after_s)
     victims = {'owner': owner, 'successor': successor, 'target': target}
     victims[victim].dead = True
@@ -285,7 +285,7 @@
     in_flight.begin(SLICE)
     deadline = owner.clock.now() + 1
     in_flight.end(SLICE, may_run_until=deadline)
-    owner.append(Moving(SLICE, 'c1'))
+    owner.append(MoveStarted(SLICE, 'c1'))
     cluster.until(lambda: _is_taken_over_from(cluster, owner), 3)
     assert owner.clock.now() >= deadline
 
@@ -320,13 +320,13 @@
     The owner's process must continue after the rejected change in the journal.
     """
     owner = _owner(cluster)
-    owner.append(Moving(SLICE, 'c1'))
+    owner.append(MoveStarted(SLICE, 'c1'))
     key = next(
         str(number)
         for number in range(100)
         if slice_index(str(number), len(owner.state.slices)) == 0
     )
-    owner.append(Carved(SERVICE, key))
+    owner.append(HotKeySplit(SERVICE, key))
     cluster.run(2)
     assert hot_slice_id(SERVICE, key) not in owner.state.slices
 
@@ -349,10 +349,10 @@
     """
     owner = _owner(cluster)
     epoch = owner.row.epoch
-    owner.append(Witnessed(owner.name, owner.row.witnesses, epoch + 1))
+    owner.append(WitnessesReplaced(owner.name, owner.row.witnesses, epoch + 1))
     part = owner.state.slices[SLICE]
     successor = cluster.named(part.successor)
-    renounced = Renounced(SLICE, successor.name, part.successor_fence)
+    renounced = SuccessorWithdrawn(SLICE, successor.name, part.successor_fence)
     successor.append(renounced)
     successor.append(SuccessorNamed(SLICE, successor.name))
     _prove(successor, owner.name, epoch)
@@ -371,7 +371,7 @@
     owner = _owner(cluster)
     epoch = owner.row.epoch
     successor = cluster.named(owner.state.slices[SLICE].successor)
-    owner.append(Witnessed(owner.name, owner.row.witnesses, epoch + 1))
+    owner.append(WitnessesReplaced(owner.name, owner.row.witnesses, epoch + 1))
     successor.catch_up()
     _prove(successor, owner.name, epoch)
     assert SLICE in successor.ownership.table.acquired
@@ -480,10 +480,12 @@
     cluster = FakeCluster.from_size(6, checks_fence=False)
     owner = _owner(cluster)
     epoch = owner.row.epoch
-    owner.append(Witnessed(owner.name, owner.row.witnesses, epoch + 1))
+    owner.append(WitnessesReplaced(owner.name, owner.row.witnesses, epoch + 1))
     part = owner.state.slices[SLICE]
     new_owner = cluster.named(part.successor)
-    new_owner.append(Renounced(SLICE, new_owner.name, part.successor_fence))
+    new_owner.append(
+        SuccessorWithdrawn(SLICE, new_owner.name, part.successor_fence)
+    )
     new_owner.append(SuccessorNamed(SLICE, new_owner.name))
     _prove(new_owner, owner.name, epoch)
     assert SLICE not in new_owner.ownership.table.acquired
--- a/tests/placement/test_policy.py
+++ b/tests/placement/test_policy.py
@@ -7,19 +7,19 @@
 from hypothesis import strategies as st
 
 from plantaingrade.journal.entity import (
-    Announced,
-    Declared,
+    DeclarationApplied,
     Ended,
     MapState,
+    MemberJoined,
     MemberRow,
     MemberState,
-    Moving,
-    OwnerWished,
+    MoveStarted,
+    OwnerRequested,
     Proof,
-    Renounced,
     ServiceRow,
     StateSet,
-    Took,
+    SuccessorWithdrawn,
+    TakenOver,
 )
 from plantaingrade.placement.const import MAX_MOVES_IN_PROGRESS
 from plantaingrade.placement.loads import LoadHeaps
@@ -48,9 +48,9 @@
 def _stable_state(servers: int = 6, slices: int = 24) -> MapState:
     state = MapState()
     service = ServiceRow(SERVICE, slices, True, 400)
-    append(state, Declared('', 0, (service,)))
+    append(state, DeclarationApplied('', 0, (service,)))
     for number in range(servers):
-        append(state, Announced(_row(f's{number}', f'z{number % ZONES}')))
+        append(state, MemberJoined(_row(f's{number}', f'z{number % ZONES}')))
     _plan_until_stable(state)
     return state
 
@@ -77,9 +77,9 @@
             slice_row.successor_fence,
         )
         if slice_row.next_successor is not None:
-            append(state, Renounced(*arguments))
+            append(state, SuccessorWithdrawn(*arguments))
         elif slice_row.moving is not None:
-            append(state, Took(*arguments))
+            append(state, TakenOver(*arguments))
             takeovers += 1
     return takeovers
 
@@ -108,9 +108,11 @@
 def test_share_is_proportional_to_slots() -> None:
     """A server with twice the slots owns twice as much."""
     state = MapState()
-    append(state, Declared('', 0, (ServiceRow(SERVICE, 24, True, 400),)))
-    append(state, Announced(_row('small', 'z0', 6)))
-    append(state, Announced(_row('large', 'z1', 12)))
+    append(
+        state, DeclarationApplied('', 0, (ServiceRow(SERVICE, 24, True, 400),))
+    )
+    append(state, MemberJoined(_row('small', 'z0', 6)))
+    append(state, MemberJoined(_row('large', 'z1', 12)))
     _plan_until_stable(state)
     assert _owned(state) == {'small': 8, 'large': 16}
 
@@ -118,7 +120,7 @@
 def test_new_server_gets_its_share_in_few_moves() -> None:
     """A server joins: it gets a fair share, and no slice moves twice."""
     state = _stable_state()
-    append(state, Announced(_row('new', 'z0')))
+    append(state, MemberJoined(_row('new', 'z0')))
     takeovers = _plan_until_stable(state)
     assert _owned(state)['new'] >= 2
     assert takeovers <= 4
@@ -127,8 +129,8 @@
 def test_moves_in_progress_are_bounded() -> None:
     """A new server does not cause moves of half the service at once."""
     state = _stable_state(2, 48)
-    append(state, Announced(_row('new', 'z2')))
-    moves = [each for each in plan(state) if isinstance(each, OwnerWished)]
+    append(state, MemberJoined(_row('new', 'z2')))
+    moves = [each for each in plan(state) if isinstance(each, OwnerRequested)]
     assert 1 <= len(moves) <= MAX_MOVES_IN_PROGRESS
 
 
@@ -153,7 +155,7 @@
         if slice_row.owner in lost and slice_row.successor is not None:
             append(
                 state,
-                Took(
+                TakenOver(
                     slice_row.slice_id,
                     slice_row.successor,
                     slice_row.successor_fence,
@@ -173,8 +175,8 @@
         for slice_row in state.slices.values()
         if slice_row.owner == 's0'
     )
-    append(state, OwnerWished(slice_row.slice_id, slice_row.successor, 'c1'))
-    assert Moving(slice_row.slice_id, 'c1') in plan(state)
+    append(state, OwnerRequested(slice_row.slice_id, slice_row.successor, 'c1'))
+    assert MoveStarted(slice_row.slice_id, 'c1') in plan(state)
 
 
 def test_own_successors_are_spread() -> None:
