--- a/bench/platform.py
+++ b/bench/platform.py
@@ -31,7 +31,7 @@
     encode_load,
     encode_outcome,
 )
-from soak.world import HOST, World
+from soak.cluster import HOST, Cluster
 
 REQUESTS = 400
 BLOCK = 200
@@ -71,11 +71,13 @@
 async def async_path() -> None:
     """Compare requests to the server with those through processes."""
     folder = Path(tempfile.mkdtemp(prefix='plantaingrade-bench-'))
-    with World(2, BLOCK, folder, work_ms=0) as world:
+    with Cluster(2, BLOCK, folder, work_ms=0) as world:
         assert await world.async_start()
         await asyncio.sleep(SETTLE_S)
-        first, second = world.spots
-        routers = [world.pid(f'router-{spot.number}') for spot in world.spots]
+        first, second = world.instances
+        routers = [
+            world.pid(f'router-{spot.number}') for spot in world.instances
+        ]
         with Pool(world.clock) as pool:
             straight = await async_times(
                 pool, f'{first.ip}:18145', '/read/1', 0
@@ -140,7 +142,7 @@
 async def async_rest(count: int) -> None:
     """Count calls to the store while nothing is asked for."""
     folder = Path(tempfile.mkdtemp(prefix='plantaingrade-bench-'))
-    with World(count, BLOCK, folder) as world:
+    with Cluster(count, BLOCK, folder) as world:
         assert await world.async_start()
         await asyncio.sleep(SETTLE_S)
         first = await async_count(world)
@@ -151,7 +153,7 @@
     print(f'{count:5} processes at rest: {calls:8.1f} calls/s {sent:10.0f} B/s')
 
 
-async def async_count(world: World) -> dict[str, int]:
+async def async_count(world: Cluster) -> dict[str, int]:
     """Return what the store has counted."""
     body = json.dumps({'count': True}).encode()
     call = Call('POST', world.store, '/-/fault', (), body)
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -17,12 +17,12 @@
 from soak.schedule import ALL_TROUBLES, Trouble, make_schedule
 from soak.trouble import Troubles
 from soak.verdict import Verdict, judge, read_runs, read_taken
-from soak.world import ZONES, World
+from soak.cluster import ZONES, Cluster
 
 # After the last fault, everything must be served again within this time: the
 # rest of a lease, the wait after an outage, and a takeover.
 RECOVERY_S = 22.0
-CALLERS_PER_SPOT = 3
+CALLERS_PER_INSTANCE = 3
 # Runs beside each other use loopback addresses of their own.
 BLOCKS = 80
 PROBE_STEP = 8192
@@ -38,21 +38,21 @@
     troubles: tuple[Trouble, ...] = ALL_TROUBLES,
 ) -> Verdict:
     """Play one seed from start to verdict."""
-    with World(spots, block, folder) as world:
-        if not await world.async_start():
+    with Cluster(spots, block, folder) as cluster:
+        if not await cluster.async_start():
             return Verdict(unserved_at_end=1)
-        callers = Callers(world, seed)
-        load = asyncio.create_task(callers.async_run(CALLERS_PER_SPOT))
+        callers = Callers(cluster, seed)
+        load = asyncio.create_task(callers.async_run(CALLERS_PER_INSTANCE))
         steps = make_schedule(seed, seconds, spots, troubles)
         (folder / 'schedule.json').write_text(
             json.dumps([asdict(step) for step in steps], indent=1)
         )
-        player = Troubles(world)
+        player = Troubles(cluster)
         await player.async_play(steps)
-        unserved = await _async_until_served(world, callers)
+        unserved = await _async_until_served(cluster, callers)
         callers.stop()
         await load
-        ended = world.ended()
+        ended = cluster.ended()
         told = [json.dumps(asdict(each)) for each in callers.told]
         (folder / 'told.jsonl').write_text('\n'.join(told))
     record = folder / 'runs.jsonl'
@@ -64,17 +64,17 @@
     return verdict
 
 
-async def _async_until_served(world: World, callers: Callers) -> int:
+async def _async_until_served(cluster: Cluster, callers: Callers) -> int:
     """Return how many probes at the end find no server, after a while."""
-    ends = world.clock.now() + RECOVERY_S
+    ends = cluster.clock.now() + RECOVERY_S
     unserved = 1
-    while unserved and world.clock.now() < ends:
+    while unserved and cluster.clock.now() < ends:
         await asyncio.sleep(1)
-        with Pool(world.clock) as pool:
+        with Pool(cluster.clock) as pool:
             asks = [
-                callers.async_ask(pool, spot, '/read/1', key)
-                for spot in world.spots
-                for key in range(spot.number, KEYS, PROBE_STEP)
+                callers.async_ask(pool, instance, '/read/1', key)
+                for instance in cluster.instances
+                for key in range(instance.number, KEYS, PROBE_STEP)
             ]
             told = await asyncio.gather(*asks)
         unserved = sum(each.status != STATUS_OK for each in told)
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -8,7 +8,7 @@
 from plantaingrade.http.channel import ChannelClosedError
 from plantaingrade.http.client import Call, Reply, fetch
 from plantaingrade.http.pool import ConnectFailedError, Pool
-from soak.world import HOST, Spot, World
+from soak.cluster import HOST, Instance, Cluster
 
 DEADLINE_MS = 1500
 # A caller gives up this long after its deadline.
@@ -48,10 +48,10 @@
 class Callers:
     """Some callers at each instance."""
 
-    def __init__(self, world: World, seed: int) -> None:
+    def __init__(self, cluster: Cluster, seed: int) -> None:
         """Prepare callers; each takes its own way from the seed."""
         self.told: list[Told] = []
-        self._world = world
+        self._cluster = cluster
         self._seed = seed
         self._is_stopped = False
 
@@ -59,26 +59,26 @@
         """End after the requests in flight."""
         self._is_stopped = True
 
-    async def async_run(self, per_spot: int) -> None:
+    async def async_run(self, per_instance: int) -> None:
         """Ask until stopped."""
         async with asyncio.TaskGroup() as tasks:
-            for spot in self._world.spots:
-                for number in range(per_spot):
-                    tasks.create_task(self._async_ask_on(spot, number))
+            for instance in self._cluster.instances:
+                for number in range(per_instance):
+                    tasks.create_task(self._async_ask_on(instance, number))
 
     async def async_ask(
-        self, pool: Pool, spot: Spot, path: str, key: int
+        self, pool: Pool, instance: Instance, path: str, key: int
     ) -> Told:
         """Send one request and note what came of it."""
-        now = self._world.clock.now
-        told = Told(uuid.uuid4().hex, path, key, spot.number, now())
+        now = self._cluster.clock.now
+        told = Told(uuid.uuid4().hex, path, key, instance.number, now())
         method = 'POST' if told.is_once else 'GET'
         headers = (
             ('attempt-id', told.request_id),
             ('deadline-ms', str(DEADLINE_MS)),
             ('shard-key', str(key)),
         )
-        call = Call(method, spot.callers, path, headers, b'x', HOST)
+        call = Call(method, instance.callers, path, headers, b'x', HOST)
         try:
             async with asyncio.timeout(DEADLINE_MS / 1000 + PATIENCE_S):
                 _judge(told, await fetch(pool, call))
@@ -88,14 +88,14 @@
         self.told.append(told)
         return told
 
-    async def _async_ask_on(self, spot: Spot, number: int) -> None:
-        chooser = random.Random(f'{self._seed}-{spot.number}-{number}')
-        with Pool(self._world.clock) as pool:
+    async def _async_ask_on(self, instance: Instance, number: int) -> None:
+        chooser = random.Random(f'{self._seed}-{instance.number}-{number}')
+        with Pool(self._cluster.clock) as pool:
             while not self._is_stopped:
                 path = chooser.choice(('/cases/1', '/read/1', '/letters/1'))
                 is_hot = chooser.random() < HOT_SHARE
                 key = chooser.randrange(HOT_KEYS if is_hot else KEYS)
-                told = await self.async_ask(pool, spot, path, key)
+                told = await self.async_ask(pool, instance, path, key)
                 pause_s = PAUSE_S if told.status else PAUSE_S * 10
                 await asyncio.sleep(chooser.uniform(0, 2 * pause_s))
 
--- a/soak/world.py
+++ b/soak/cluster.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Spot:
+class Instance:
     """One instance: its real address and the one that peers know."""
 
     number: int
@@ -66,7 +66,7 @@
         return f'{self.ip}:18141'
 
 
-class World:
+class Cluster:
     """Start, signal and end the processes; order faults of the stand-ins."""
 
     def __init__(
@@ -79,19 +79,21 @@
         self.pool = Pool(self.clock)
         self.store = f'127.9.{block}.1:18142'
         self.network = f'127.9.{block}.2:19002'
-        self.spots = [_spot(number, block) for number in range(count)]
+        self.instances = [
+            _make_instance(number, block) for number in range(count)
+        ]
         self._process_by_name: dict[str, subprocess.Popen[bytes]] = {}
-        self._count_by_spot: Counter[int] = Counter()
+        self._starts: Counter[int] = Counter()
         self.links: dict[str, Any] = {}
         # How often the store has come back from a copy.
         self.store_epoch = 0
 
-    def __enter__(self) -> 'World':
+    def __enter__(self) -> 'Cluster':
         """Start everything."""
         self._spawn('store', 'standins.shared_store', f'--address={self.store}')
         routes = [
-            f'{kind}={spot.known_ip}:{PEERS_PORT}={spot.ip}:{PEERS_PORT}'
-            for spot in self.spots
+            f'{kind}={each.known_ip}:{PEERS_PORT}={each.ip}:{PEERS_PORT}'
+            for each in self.instances
             for kind in ('tcp', 'udp')
         ]
         self._spawn(
@@ -102,9 +104,9 @@
             f'--control={self.network}',
             *routes,
         )
-        for spot in self.spots:
-            self.start_server(spot)
-            self.start_router(spot)
+        for instance in self.instances:
+            self.start_server(instance)
+            self.start_router(instance)
         return self
 
     def __exit__(
@@ -122,39 +124,41 @@
             process.wait()
         self.pool.close()
 
-    def start_server(self, spot: Spot, *, keeps_id: bool = False) -> None:
+    def start_server(
+        self, instance: Instance, *, keeps_id: bool = False
+    ) -> None:
         """Start a life of an instance's server, under a new id or its last."""
         if not keeps_id:
-            self._count_by_spot[spot.number] += 1
-        kind = '--keyed' if spot.service == KEYED else '--plain'
+            self._starts[instance.number] += 1
+        kind = '--keyed' if instance.service == KEYED else '--plain'
         self._spawn(
-            server_name(spot),
+            server_name(instance),
             'standins.keyed_server',
-            f'--service={spot.service}',
-            f'--zone={spot.zone}',
-            f'--address={spot.server}',
-            f'--reports={spot.reports}',
-            f'--instance={self.server_id(spot)}',
+            f'--service={instance.service}',
+            f'--zone={instance.zone}',
+            f'--address={instance.server}',
+            f'--reports={instance.reports}',
+            f'--instance={self.server_id(instance)}',
             kind,
             f'--slots={SLOTS}',
             f'--work-ms={self._work_ms}',
             f'--log={self.folder}/runs.jsonl',
         )
 
-    def server_id(self, spot: Spot) -> str:
+    def server_id(self, instance: Instance) -> str:
         """Return the id under which an instance's server was last started."""
-        return f'i-{spot.number}-{self._count_by_spot[spot.number]}'
+        return f'i-{instance.number}-{self._starts[instance.number]}'
 
-    def start_router(self, spot: Spot) -> None:
+    def start_router(self, instance: Instance) -> None:
         """Start a run of an instance's process."""
-        path = self.folder / f'settings-{spot.number}.yaml'
-        settings = _settings(spot, self.store)
+        path = self.folder / f'settings-{instance.number}.yaml'
+        settings = _settings(instance, self.store)
         settings['self']['bootstrap'] = not path.exists()
         path.write_text(yaml.safe_dump(settings))
         self._spawn(
-            router_name(spot),
+            router_name(instance),
             'plantaingrade.sidecar',
-            f'--peers-bind={spot.ip}:{PEERS_PORT}',
+            f'--peers-bind={instance.ip}:{PEERS_PORT}',
             '--binds-source',
             env={'PLANTAINGRADE_BOOT': str(path)},
         )
@@ -201,14 +205,16 @@
         ends = self.clock.now() + START_LIMIT_S
         while self.clock.now() < ends:
             await self.async_configure(1)
-            ready = [await self._is_ready(spot) for spot in self.spots]
+            ready = [
+                await self._is_ready(instance) for instance in self.instances
+            ]
             if all(ready):
                 return True
             await asyncio.sleep(LOOK_S)
         return False
 
-    async def _is_ready(self, spot: Spot) -> bool:
-        call = Call('GET', spot.ready, '/v1/readyz')
+    async def _is_ready(self, instance: Instance) -> bool:
+        call = Call('GET', instance.ready, '/v1/readyz')
         try:
             async with asyncio.timeout(CALL_LIMIT_S):
                 reply = await fetch(self.pool, call, fresh=True)
@@ -229,27 +235,27 @@
             )
 
 
-def router_name(spot: Spot) -> str:
+def router_name(instance: Instance) -> str:
     """Return the name of an instance's process."""
-    return f'router-{spot.number}'
+    return f'router-{instance.number}'
 
 
-def server_name(spot: Spot) -> str:
+def server_name(instance: Instance) -> str:
     """Return the name of the process of an instance's server."""
-    return f'server-{spot.number}'
+    return f'server-{instance.number}'
 
 
-def spot_of(instance: str) -> int:
+def instance_number(instance: str) -> int:
     """Return the number of the instance whose server has an id."""
     _, number, _ = instance.split('-')
     return int(number)
 
 
-def _spot(number: int, block: int) -> Spot:
+def _make_instance(number: int, block: int) -> Instance:
     zone = number % ZONES
     host = number // ZONES + 1
     service = PLAIN if number % PLAIN_EVERY == PLAIN_EVERY - 1 else KEYED
-    return Spot(
+    return Instance(
         number,
         f'z{zone}',
         f'127.10.{block + zone}.{host}',
@@ -258,20 +264,20 @@
     )
 
 
-def _settings(spot: Spot, store: str) -> dict[str, Any]:
+def _settings(instance: Instance, store: str) -> dict[str, Any]:
     return {
         'self': {
-            'nodeName': router_name(spot),
-            'ip': spot.known_ip,
-            'zone': spot.zone,
-            'appAddr': spot.server,
-            'service': spot.service,
+            'nodeName': router_name(instance),
+            'ip': instance.known_ip,
+            'zone': instance.zone,
+            'appAddr': instance.server,
+            'service': instance.service,
         },
         'network': {
             'listenAddrs': {
-                'outbound': spot.callers,
-                'ready': spot.ready,
-                'controlPlane': spot.reports,
+                'outbound': instance.callers,
+                'ready': instance.ready,
+                'controlPlane': instance.reports,
             },
             'internalPortRange': [PEERS_PORT, PEERS_PORT + 9],
         },
--- a/soak/strangers.py
+++ b/soak/strangers.py
@@ -8,8 +8,8 @@
 from plantaingrade.holds.rows import TABLE, member_row
 from plantaingrade.operators.wishes import wish_row
 from plantaingrade.peers.entity import Member
-from soak.world import PEERS_PORT, Spot, World
-from standins.life import Heartbeat, Life
+from soak.cluster import PEERS_PORT, Instance, Cluster
+from standins.incarnation import Heartbeat, Incarnation
 from standins.reports import Reporter
 from standins.strange import Flaw, spoil
 
@@ -24,37 +24,37 @@
 
 
 async def async_report(
-    world: World, spot: Spot, chooser: random.Random
+    cluster: Cluster, instance: Instance, chooser: random.Random
 ) -> None:
     """Send a flawed heartbeat, under the id of the server or a stranger's."""
-    instance = chooser.choice((world.server_id(spot), STRANGER))
+    server_id = chooser.choice((cluster.server_id(instance), STRANGER))
     heartbeat = Heartbeat(
-        Life.under_id(instance),
-        spot.service,
-        spot.server,
-        spot.zone,
+        Incarnation.under_id(server_id),
+        instance.service,
+        instance.server,
+        instance.zone,
         capacity=1,
         state='ready',
         sequence=LATE_SEQUENCE,
     )
-    reporter = Reporter(heartbeat, spot.reports, world.pool)
+    reporter = Reporter(heartbeat, instance.reports, cluster.pool)
     await reporter.async_say_strange(chooser.choice(FLAWS), chooser)
 
 
 async def async_put_row(
-    world: World, spot: Spot, chooser: random.Random
+    cluster: Cluster, instance: Instance, chooser: random.Random
 ) -> None:
     """Put a flawed row beside those of a service, overwriting none."""
     member = Member(
-        STRANGER, spot.service, spot.zone, STRANGE_ADDRESS, STRANGER
+        STRANGER, instance.service, instance.zone, STRANGE_ADDRESS, STRANGER
     )
-    row = MemberRow(member, world.clock.now() + LEASE_S, STRANGER)
+    row = MemberRow(member, cluster.clock.now() + LEASE_S, STRANGER)
     fields = json.loads(encode_member_row(row))
     body = spoil(fields, chooser.choice(FLAWS), chooser)
     name = chooser.choice(
         (
-            member_row(spot.service, STRANGER, world.store_epoch),
-            wish_row(spot.service, spot.known_ip),
+            member_row(instance.service, STRANGER, cluster.store_epoch),
+            wish_row(instance.service, instance.known_ip),
         )
     )
     entry = {
@@ -63,4 +63,4 @@
         'key': name.key,
         'value': base64.b64encode(body).decode(),
     }
-    await world.async_order(world.store, {'puts': [entry]})
+    await cluster.async_order(cluster.store, {'puts': [entry]})
--- a/soak/verdict.py
+++ b/soak/verdict.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 from soak.callers import STATUS_OK, Told
-from soak.world import KEYED, spot_of
-from standins.fences import Taken, find_old_fences
-from standins.life import Life
+from soak.cluster import KEYED, instance_number
+from standins.fences import Taken, find_stale_acquisitions
+from standins.incarnation import Incarnation
 
 # Runs of one key at two servers may touch, by the reading of two clocks.
 TOUCH_S = 0.001
@@ -36,9 +36,9 @@
     born_ms: int = 0
 
     @property
-    def life(self) -> Life:
+    def incarnation(self) -> Incarnation:
         """Return the life that ran it; an id may have had several."""
-        return Life(self.instance, self.born_ms)
+        return Incarnation(self.instance, self.born_ms)
 
 
 @dataclass(slots=True, frozen=True)
@@ -79,12 +79,12 @@
 
 def read_runs(path: Path) -> list[Run]:
     """Return the runs that servers noted."""
-    run_by_name: dict[tuple[str, Life, float], Run] = {}
+    run_by_name: dict[tuple[str, Incarnation, float], Run] = {}
     for fields in _read_lines(path):
         if fields['event'] == EVENT_TAKEN:
             continue
-        life = Life(fields['instance'], fields['born_ms'])
-        name = (fields['request_id'], life, fields['began'])
+        incarnation = Incarnation(fields['instance'], fields['born_ms'])
+        name = (fields['request_id'], incarnation, fields['began'])
         if fields['event'] == 'begin':
             run_by_name[name] = Run(
                 fields['request_id'],
@@ -94,7 +94,7 @@
                 fields['began'],
                 # A server that was killed has ended its work with its life.
                 fields['began'],
-                life.born_ms,
+                incarnation.started_at_ms,
             )
         else:
             run_by_name[name].ended = fields['ended']
@@ -130,7 +130,7 @@
     verdict.answered_late = sum(_is_late(each, pauses) for each in told)
     verdict.two_owners = count_two_owners(runs)
     verdict.old_fences = sum(
-        not _was_thawed(each, pauses) for each in find_old_fences(taken)
+        not _was_thawed(each, pauses) for each in find_stale_acquisitions(taken)
     )
     return verdict
 
@@ -171,7 +171,7 @@
     """
     return any(
         pause.is_server
-        and pause.spot == spot_of(taken.instance)
+        and pause.spot == instance_number(taken.instance)
         and pause.began <= taken.taken_at <= pause.ended + THAW_S
         for pause in pauses
     )
@@ -189,7 +189,7 @@
         latest = on_key[0]
         for run in on_key[1:]:
             overlaps = run.began + TOUCH_S < latest.ended
-            found += overlaps and run.life != latest.life
+            found += overlaps and run.incarnation != latest.incarnation
             if run.ended > latest.ended:
                 latest = run
     return found
--- a/standins/cold.py
+++ b/standins/cold.py
@@ -13,7 +13,7 @@
         self._clock = clock
         self._until = 0.0
 
-    def turn(self, seconds: float) -> None:
+    def start(self, seconds: float) -> None:
         """Be cold from now on, for so long."""
         self._until = self._clock.now() + seconds
 
--- a/standins/life.py
+++ b/standins/incarnation.py
@@ -12,40 +12,42 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Life:
+class Incarnation:
     """One life of a server: its id, and the Unix millisecond of its start.
 
-    Lives under one id are told apart by ``born_ms`` alone.
+    Lives under one id are told apart by ``started_at_ms`` alone.
     """
 
     instance: str
-    born_ms: int
+    started_at_ms: int
 
     @classmethod
-    def from_seed(cls, seed: int) -> 'Life':
+    def from_seed(cls, seed: int) -> 'Incarnation':
         """Begin a life now, under an id of its own."""
         chooser = random.Random(seed)
         return cls.under_id(f'i-{chooser.getrandbits(8 * ID_BYTES):08x}')
 
     @classmethod
-    def under_id(cls, instance: str) -> 'Life':
+    def under_id(cls, instance: str) -> 'Incarnation':
         """Begin a life now, under a given id."""
         return cls(instance, time.time_ns() // NS_PER_MS)
 
-    def next_life(self) -> 'Life':
+    def next_incarnation(self) -> 'Incarnation':
         """Begin the next life under this id; it is the later one.
 
         In a test two lives may begin in one millisecond.
         """
-        begun = Life.under_id(self.instance)
-        return Life(self.instance, max(begun.born_ms, self.born_ms + 1))
+        begun = Incarnation.under_id(self.instance)
+        return Incarnation(
+            self.instance, max(begun.started_at_ms, self.started_at_ms + 1)
+        )
 
 
 @dataclass(slots=True, frozen=True)
 class Heartbeat:
     """What a server says of itself in one heartbeat."""
 
-    life: Life
+    incarnation: Incarnation
     service: str
     address: str
     zone: str
@@ -65,5 +67,5 @@
             'state': self.state,
             'coldRemaining': format_time(self.cold_s),
             'sequence': self.sequence,
-            'born': self.life.born_ms,
+            'born': self.incarnation.started_at_ms,
         }
--- a/standins/keyed_server.py
+++ b/standins/keyed_server.py
@@ -42,8 +42,8 @@
 from plantaingrade.requests.entity import Answer
 from plantaingrade.sidecar.fronts import refuse_malformed, send_answer
 from standins.cold import Coldness
-from standins.fences import Taken, find_old_fences
-from standins.life import Heartbeat, Life
+from standins.fences import Taken, find_stale_acquisitions
+from standins.incarnation import Heartbeat, Incarnation
 from standins.reports import Reporter
 
 STATUS_OK = 200
@@ -134,16 +134,16 @@
         self.taken.append(taken)
         self._append('taken', taken)
 
-    def old_fences(self) -> list[Taken]:
+    def find_stale_fences(self) -> list[Taken]:
         """Return what was taken under a fence that another life had."""
-        return find_old_fences(self.taken)
+        return find_stale_acquisitions(self.taken)
 
     def _append(self, event: str, noted: Run | Taken) -> None:
         if self.fd is not None:
             line = json.dumps({'event': event, **asdict(noted)})
             os.write(self.fd, f'{line}\n'.encode())
 
-    def times_run(self, request_id: str) -> int:
+    def count_runs(self, request_id: str) -> int:
         """Return how often a request was run."""
         return sum(run.request_id == request_id for run in self.runs)
 
@@ -180,7 +180,7 @@
         record: RunRecord,
         clock: Clock,
         seed: int,
-        life: Life | None = None,
+        incarnation: Incarnation | None = None,
     ) -> None:
         """Start with no keys; without a life given, under an id of its own."""
         self.plan = plan
@@ -188,7 +188,7 @@
         self.faults = ServerFaults()
         self._clock = clock
         self._random = random.Random(seed)
-        self.life = life or Life.from_seed(seed)
+        self.incarnation = incarnation or Incarnation.from_seed(seed)
         self.state = 'ready'
         self.cold = Coldness(clock)
         self.is_up = False
@@ -198,7 +198,7 @@
         self._busy: list[int] = []
         self._pool = Pool(clock)
         first = Heartbeat(
-            self.life,
+            self.incarnation,
             plan.service,
             plan.address,
             plan.zone,
@@ -215,12 +215,12 @@
     @property
     def instance(self) -> str:
         """Return the id of this life, which others may have had."""
-        return self.life.instance
+        return self.incarnation.instance
 
     @property
-    def born_ms(self) -> int:
+    def started_at_ms(self) -> int:
         """Return the Unix millisecond of this life's start."""
-        return self.life.born_ms
+        return self.incarnation.started_at_ms
 
     async def async_start(self) -> None:
         """Listen, and begin to send heartbeats."""
@@ -320,7 +320,7 @@
             taken = Taken(
                 self.plan.service,
                 self.instance,
-                self.born_ms,
+                self.started_at_ms,
                 keys.first,
                 keys.last,
                 fence,
@@ -335,7 +335,7 @@
                 continue
             if other.holds_some(keys, now):
                 self.record.two_owners.append(
-                    f'{self.life} and {other.life} hold {keys}'
+                    f'{self.incarnation} and {other.incarnation} hold {keys}'
                 )
 
     async def _release(self, fields: dict, channel: Channel) -> None:
@@ -397,7 +397,7 @@
             headers.get(HEADER_REQUEST_ID, b'').decode(),
             key,
             self.instance,
-            self.born_ms,
+            self.started_at_ms,
             self.plan.service,
             headers.get(HEADER_CALLER, b'').decode(),
             now,
@@ -460,8 +460,12 @@
 ) -> None:
     """Serve until told to stop; drain first, as a planned shutdown does."""
     seed = os.getpid()
-    life = Life.under_id(instance) if instance else Life.from_seed(seed)
-    server = KeyedServer(plan, record, BootClock(), seed, life)
+    incarnation = (
+        Incarnation.under_id(instance)
+        if instance
+        else Incarnation.from_seed(seed)
+    )
+    server = KeyedServer(plan, record, BootClock(), seed, incarnation)
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stop.set)
--- a/standins/reports.py
+++ b/standins/reports.py
@@ -9,7 +9,7 @@
 from plantaingrade.http.client import Call, fetch
 from plantaingrade.http.pool import ConnectFailedError, Pool
 from plantaingrade.platform.const import PATH_REPORTS
-from standins.life import Heartbeat
+from standins.incarnation import Heartbeat
 from standins.strange import Flaw, spoil
 
 # The platform's time for an acknowledgement.
@@ -30,7 +30,7 @@
         heartbeat = replace(self._next, state=state, cold_s=cold_s)
         self._next = replace(self._next, sequence=self._next.sequence + 1)
         body = json.dumps(heartbeat.fields()).encode()
-        return await self._async_put(heartbeat.life.instance, body)
+        return await self._async_put(heartbeat.incarnation.instance, body)
 
     async def async_say_strange(
         self, flaw: Flaw, chooser: random.Random, instance: str = ''
@@ -41,7 +41,9 @@
         sound heartbeat that follows.
         """
         body = spoil(self._next.fields(), flaw, chooser)
-        return await self._async_put(instance or self._next.life.instance, body)
+        return await self._async_put(
+            instance or self._next.incarnation.instance, body
+        )
 
     async def _async_put(self, instance: str, body: bytes) -> int | None:
         path = f'{PATH_REPORTS.decode()}{instance}'
--- a/standins/shared_store.py
+++ b/standins/shared_store.py
@@ -86,7 +86,7 @@
 
 
 @dataclass(slots=True)
-class RowsCopy:
+class RowsSnapshot:
     """All rows as they were at one moment."""
 
     row_by_name: dict[Name, StoredRow] = field(default_factory=dict)
@@ -104,19 +104,19 @@
         self.forgotten = 0
         self.changed = asyncio.Event()
 
-    def copy(self) -> RowsCopy:
+    def snapshot(self) -> RowsSnapshot:
         """Return all rows as they are now."""
-        return RowsCopy(dict(self.row_by_name), self.version)
+        return RowsSnapshot(dict(self.row_by_name), self.version)
 
-    def come_back(self, copy: RowsCopy) -> None:
+    def restore(self, snapshot: RowsSnapshot) -> None:
         """Lose all that was written since a copy was made.
 
         Versions are given out again, and whoever waits is told to read anew.
         """
-        self.row_by_name = dict(copy.row_by_name)
-        self.version = copy.version
+        self.row_by_name = dict(snapshot.row_by_name)
+        self.version = snapshot.version
         self.epoch += 1
-        self.forget_history()
+        self.drop_history()
 
     def commit(self, fields: dict[str, Any]) -> tuple[int, dict[str, Any]]:
         """Apply a transaction or nothing of it."""
@@ -202,7 +202,7 @@
         names.sort(key=lambda name: self.row_by_name[name].version)
         return [self.encode(name) for name in names]
 
-    def forget_history(self) -> None:
+    def drop_history(self) -> None:
         """Drop what the feeds were to be told from."""
         self.forgotten = self.version
         self._wake()
@@ -218,7 +218,7 @@
     def __init__(self, clock: Clock, seed: int = 0) -> None:
         """Start empty and sound."""
         self.rows = Rows()
-        self._copy = RowsCopy()
+        self._snapshot = RowsSnapshot()
         self.faults = StoreFaults()
         self.calls = 0
         self.bytes = 0
@@ -272,9 +272,9 @@
         rows, and ``{"come_back": true}`` goes back to the last one.
         """
         if fields.get('copy'):
-            self._copy = self.rows.copy()
+            self._snapshot = self.rows.snapshot()
         if fields.get('come_back'):
-            self.rows.come_back(self._copy)
+            self.rows.restore(self._snapshot)
         if 'puts' in fields:
             self.rows.commit({'puts': fields['puts']})
         if 'config' in fields:
@@ -294,7 +294,7 @@
             self._answer(channel, STATUS_OK, figures)
             return
         if fields.get('forget'):
-            self.rows.forget_history()
+            self.rows.drop_history()
         self._answer(channel, STATUS_OK, {})
 
     async def _fails(self, host: str, channel: Channel) -> bool:
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -79,7 +79,7 @@
         assert [row.body for row in changes.rows] == [b'one']
         nothing = await client.async_follow('t', changes.version, 0.05)
         assert nothing.rows == ()
-        store.rows.forget_history()
+        store.rows.drop_history()
         assert isinstance(await client.async_follow('t', 0, 1), HistoryGone)
 
     play(story)
@@ -153,9 +153,9 @@
 
 def test_versions_rise_although_the_store_gives_them_out_again() -> None:
     async def story(store, client) -> None:
-        copy = store.rows.copy()
+        copy = store.rows.snapshot()
         before = await client.async_commit(FIRST)
-        store.rows.come_back(copy)
+        store.rows.restore(copy)
         assert (await client.async_read('t', 'p')).rows == ()
         again = replace(FIRST, epoch=client.epochs.newest)
         after = await client.async_commit(again)
@@ -171,9 +171,9 @@
     """The condition holds by chance: its version was given out again."""
 
     async def story(store, client) -> None:
-        copy = store.rows.copy()
+        copy = store.rows.snapshot()
         first = await client.async_commit(FIRST)
-        store.rows.come_back(copy)
+        store.rows.restore(copy)
         store.rows.put('t', 'k', b'of another', 'p')
         change = Transaction(
             (Expected(NAME, first.version),), (Put(NAME, b'two'),)
@@ -190,12 +190,12 @@
     """Else a change is missed whose version is below the one waited from."""
 
     async def story(store, client) -> None:
-        copy = store.rows.copy()
+        copy = store.rows.snapshot()
         await client.async_commit(FIRST)
         after = (await client.async_read('t', 'p')).version
         waiting = asyncio.create_task(client.async_follow('t', after, 5))
         await asyncio.sleep(0.05)
-        store.rows.come_back(copy)
+        store.rows.restore(copy)
         assert isinstance(await waiting, HistoryGone)
         store.rows.put('t', 'k', b'of another', 'p')
         assert isinstance(await client.async_follow('t', after, 5), HistoryGone)
--- a/tests/sidecar/rig.py
+++ b/tests/sidecar/rig.py
@@ -20,7 +20,7 @@
     Listeners,
 )
 from standins.keyed_server import KeyedServer, RunRecord, ServerPlan
-from standins.life import Life
+from standins.incarnation import Incarnation
 from standins.shared_store import SharedStore
 
 WAIT_LIMIT_S = 20.0
@@ -134,7 +134,7 @@
         return place
 
     async def async_start_server(
-        self, place: Place, life: Life | None = None
+        self, place: Place, life: Incarnation | None = None
     ) -> None:
         """Start a new life of a place's server, as given or as a new one."""
         self._seed += 1
--- a/tests/sidecar/test_deadly_requests.py
+++ b/tests/sidecar/test_deadly_requests.py
@@ -21,7 +21,9 @@
 def is_known(place: Place) -> bool:
     """Tell whether the process goes by the present life of its server."""
     life = place.process._life
-    return life.takes_work and life.instance == place.server.life.instance
+    return (
+        life.takes_work and life.instance == place.server.incarnation.instance
+    )
 
 
 def test_a_deadly_request_stops_reaching_servers() -> None:
--- a/tests/sidecar/test_evacuation.py
+++ b/tests/sidecar/test_evacuation.py
@@ -26,7 +26,7 @@
 def ran_in(rig: Rig, zone: str) -> int:
     """Return how many requests the servers of a zone have run."""
     instances = {
-        server.life.instance
+        server.incarnation.instance
         for server in rig.record.servers
         if server.plan.zone == zone
     }
@@ -121,7 +121,7 @@
         rig.store.rows.put('op', ROW, b'{}')
         path = place.process._server_path
         await rig.async_until(lambda: path.is_evacuated)
-        place.server.cold.turn(60.0)
+        place.server.cold.start(60.0)
         rig.store.rows.delete('op', ROW)
         await rig.async_until(lambda: not path.is_evacuated)
         assert cold.is_limited(rig.clock.now())
--- a/tests/sidecar/test_lives.py
+++ b/tests/sidecar/test_lives.py
@@ -5,7 +5,7 @@
 
 from plantaingrade.http.client import Call, Reply, fetch
 from plantaingrade.http.pool import Pool
-from standins.life import Life
+from standins.incarnation import Incarnation
 from standins.shared_store import Outage
 from tests.sidecar.rig import KEYED, PLAIN, Place, Rig
 
@@ -38,7 +38,9 @@
     """Crash a server and start it under its id, until its process knows."""
     await place.server.async_crash()
     await asyncio.sleep(pause_s)
-    await rig.async_start_server(place, place.server.life.next_life())
+    await rig.async_start_server(
+        place, place.server.incarnation.next_incarnation()
+    )
     await rig.async_until(lambda: is_known(place))
 
 
@@ -52,7 +54,7 @@
         'state': 'ready',
         'coldRemaining': '0ms',
         'sequence': 10_000,
-        'born': place.server.life.born_ms,
+        'born': place.server.incarnation.started_at_ms,
     }
     return json.dumps({**fields, **changes}).encode()
 
@@ -62,7 +64,7 @@
 
 
 def is_known(place: Place) -> bool:
-    return present(place).born_ms == place.server.life.born_ms
+    return present(place).born_ms == place.server.incarnation.started_at_ms
 
 
 def fences(place: Place) -> set[int]:
@@ -112,7 +114,9 @@
             assert await place.server.async_drain()
             await place.server.async_crash()
             await asyncio.sleep(STEP_S)
-            await rig.async_start_server(place, place.server.life.next_life())
+            await rig.async_start_server(
+                place, place.server.incarnation.next_incarnation()
+            )
             await rig.async_until(lambda: place.process._life.takes_work)
             reply = await rig.async_ask(place, '/letters/1', 'after', 5)
             assert reply.status == 200
@@ -224,10 +228,10 @@
             await rig.async_ask(place, '/letters/1', 'before', 5)
             idle = place.process._pools.server._idle_by_address
             assert idle[place.plan.address]
-            life = place.server.life.next_life()
-            body = heartbeat(place, born=life.born_ms, sequence=1)
+            life = place.server.incarnation.next_incarnation()
+            body = heartbeat(place, born=life.started_at_ms, sequence=1)
             await async_report(rig, place, life.instance, body)
-            assert present(place).born_ms == life.born_ms
+            assert present(place).born_ms == life.started_at_ms
             assert not idle[place.plan.address]
 
     asyncio.run(story())
@@ -253,7 +257,7 @@
             rig.store.faults.outage = Outage.NONE
             await rig.async_until_served()
             assert not rig.record.two_owners
-            assert not rig.record.old_fences()
+            assert not rig.record.find_stale_fences()
 
     asyncio.run(story())
 
@@ -270,7 +274,7 @@
             first = await rig.async_add(KEYED)
             second = await rig.async_add(KEYED)
             await rig.async_until_served()
-            moved = first.server.life.next_life()
+            moved = first.server.incarnation.next_incarnation()
             await first.server.async_crash()
             await second.server.async_crash()
             await rig.async_start_server(second, moved)
@@ -281,7 +285,7 @@
             await rig.async_start_server(first)
             await rig.async_until_served()
             assert not rig.record.two_owners
-            assert not rig.record.old_fences()
+            assert not rig.record.find_stale_fences()
 
     asyncio.run(story())
 
@@ -300,11 +304,13 @@
             await rig.async_until(lambda: place.process.is_ready)
             await rig.async_until(lambda: is_known(place))
             assert await place.server.async_drain()
-            before = place.server.life
+            before = place.server.incarnation
             await place.server.async_crash()
-            born = before.born_ms - STEPPED_BACK_MS
+            born = before.started_at_ms - STEPPED_BACK_MS
             began = rig.clock.now()
-            await rig.async_start_server(place, Life(before.instance, born))
+            await rig.async_start_server(
+                place, Incarnation(before.instance, born)
+            )
             await rig.async_until(lambda: is_known(place))
             assert rig.clock.now() - began < BACK_S
             assert place.process._life.takes_work
--- a/tests/sidecar/test_new_fences_first.py
+++ b/tests/sidecar/test_new_fences_first.py
@@ -26,9 +26,9 @@
             await asyncio.sleep(0.3)
             await rig.async_start_server(places[0])
             await asyncio.sleep(LONG_ENOUGH_S)
-            assert not rig.record.old_fences()
+            assert not rig.record.find_stale_fences()
             rig.store.faults = StoreFaults()
             await rig.async_until_served()
-            assert not rig.record.old_fences()
+            assert not rig.record.find_stale_fences()
 
     asyncio.run(story())
--- a/tests/sidecar/test_operators.py
+++ b/tests/sidecar/test_operators.py
@@ -51,8 +51,8 @@
             lambda: place.process._life.present.born_ms is not None
         )
         _, owner = await say(rig, place, f'owner of 5 in {KEYED}')
-        assert owner['instance'] == place.server.life.instance
-        assert owner['born_ms'] == place.server.life.born_ms
+        assert owner['instance'] == place.server.incarnation.instance
+        assert owner['born_ms'] == place.server.incarnation.started_at_ms
         _, servers = await say(rig, first, f'show servers of {KEYED}')
         assert len(servers) == 2
         assert sum(each['keys'] for each in servers) == 65_536
--- a/tests/sidecar/test_process.py
+++ b/tests/sidecar/test_process.py
@@ -17,7 +17,7 @@
                     reply = await rig.async_ask(place, '/cases/1', name, key)
                     assert reply.status == 200
                     assert reply.body == f'done {name}'.encode()
-                    assert rig.record.times_run(name) == 1
+                    assert rig.record.count_runs(name) == 1
                 reply = await rig.async_ask(place, '/letters/1', name, 5)
                 assert reply.status == 200
             assert not rig.record.two_owners
--- a/tests/sidecar/test_requests.py
+++ b/tests/sidecar/test_requests.py
@@ -37,7 +37,7 @@
         reply = await rig.async_ask(rig.places[0], '/cases/1', 'r1', 5)
         assert reply.status == 502
         assert b'retry-after' not in reply.headers
-        assert rig.record.times_run('r1') == 1
+        assert rig.record.count_runs('r1') == 1
 
     story_of(61, (KEYED, KEYED), story)
 
@@ -50,7 +50,7 @@
             rig.places[0], '/read/1', 'r1', 5, method='GET'
         )
         assert reply.status == 200
-        assert rig.record.times_run('r1') == 2
+        assert rig.record.count_runs('r1') == 2
 
     story_of(62, (KEYED, KEYED), story)
 
@@ -79,7 +79,7 @@
             place.server.faults.refuse = 1
         reply = await rig.async_ask(rig.places[0], '/letters/1', 'r1', 5)
         times_by_status = {200: 1, 503: 0}
-        assert rig.record.times_run('r1') == times_by_status[reply.status]
+        assert rig.record.count_runs('r1') == times_by_status[reply.status]
 
     story_of(64, (PLAIN, PLAIN, PLAIN), story)
 
@@ -94,7 +94,7 @@
         place.server.faults.lose_answers = 1
         reply = await rig.async_ask(place, '/cases/1', 'r1', 5, deadline_ms=300)
         assert reply.status == 504
-        assert rig.record.times_run('r1') == 1
+        assert rig.record.count_runs('r1') == 1
 
     story_of(65, (KEYED,), story)
 
--- a/tests/sidecar/test_store_copy.py
+++ b/tests/sidecar/test_store_copy.py
@@ -6,7 +6,7 @@
 
 from plantaingrade.holds.registry import Registry
 from plantaingrade.keyspace.entity import KeyRange
-from standins.shared_store import Outage, RowsCopy
+from standins.shared_store import Outage, RowsSnapshot
 from tests.sidecar.rig import KEYED, PLAIN, Place, Rig
 from tests.sidecar.test_operators import say
 
@@ -15,11 +15,11 @@
 MOVES = 3
 
 
-async def lose(rig: Rig, copy: RowsCopy, *hosts: str) -> None:
+async def lose(rig: Rig, copy: RowsSnapshot, *hosts: str) -> None:
     """Have the store be away and come back; it then fails some hosts."""
     rig.store.faults.outage = Outage.BUSY
     await asyncio.sleep(AWAY_S)
-    rig.store.rows.come_back(copy)
+    rig.store.rows.restore(copy)
     rig.store.faults.outage = Outage.NONE
     rig.store.faults.outage_by_host = dict.fromkeys(hosts, Outage.RESET)
 
@@ -62,7 +62,7 @@
 def test_owners_carry_their_leases_into_a_new_epoch() -> None:
     async def story(rig: Rig) -> None:
         keyed = rig.places[:3]
-        copy = rig.store.rows.copy()
+        copy = rig.store.rows.snapshot()
         await move_to_and_fro(rig)
         fence = max(registry_of(each).key_map.fence for each in keyed)
         await lose(rig, copy)
@@ -81,7 +81,7 @@
 ):
     async def story(rig: Rig) -> None:
         keyed = rig.places[:3]
-        copy = rig.store.rows.copy()
+        copy = rig.store.rows.snapshot()
         await move_to_and_fro(rig)
         await lose(rig, copy, keyed[0].settings.ip)
         await rig.async_until(lambda: all(has_carried(each) for each in keyed))
@@ -95,7 +95,7 @@
 
     async def story(rig: Rig) -> None:
         keyed = rig.places[:3]
-        await lose(rig, RowsCopy())
+        await lose(rig, RowsSnapshot())
         rig.configure(1)
         await rig.async_until(lambda: all(has_carried(each) for each in keyed))
         new = await rig.async_add(PLAIN)
@@ -113,7 +113,7 @@
     async def story(rig: Rig) -> None:
         first, second = rig.places[:2]
         host = first.settings.ip
-        copy = rig.store.rows.copy()
+        copy = rig.store.rows.snapshot()
         status, answer = await say(rig, second, f'{given} {host}', 'c1')
         assert status == 200, answer
         await lose(rig, copy)
--- a/tests/standins/test_lives.py
+++ b/tests/standins/test_lives.py
@@ -15,7 +15,7 @@
 from plantaingrade.requests.entity import Answer
 from plantaingrade.sidecar.fronts import refuse_malformed, send_answer
 from standins.keyed_server import KeyedServer, RunRecord, ServerPlan
-from standins.life import Life
+from standins.incarnation import Incarnation
 from standins.shared_store import SharedStore
 from standins.strange import Flaw
 
@@ -57,8 +57,10 @@
         await front.async_close()
 
 
-def server(record: RunRecord, life: Life | None = None) -> KeyedServer:
-    return KeyedServer(PLAN, record, BootClock(), 1, life)
+def server(
+    record: RunRecord, incarnation: Incarnation | None = None
+) -> KeyedServer:
+    return KeyedServer(PLAN, record, BootClock(), 1, incarnation)
 
 
 async def send(address: str, method: str, path: str, fields: dict) -> Reply:
@@ -68,10 +70,10 @@
 
 
 def test_a_later_life_of_one_id_is_born_later() -> None:
-    first = Life.from_seed(3)
-    second = first.next_life()
+    first = Incarnation.from_seed(3)
+    second = first.next_incarnation()
     assert second.instance == first.instance
-    assert second.born_ms > first.born_ms
+    assert second.started_at_ms > first.started_at_ms
 
 
 def test_a_life_under_the_same_id_holds_and_knows_nothing() -> None:
@@ -92,13 +94,15 @@
             assert first.holds_key(5)
             await first.async_crash()
 
-            second = server(record, first.life.next_life())
+            second = server(record, first.incarnation.next_incarnation())
             await second.async_start()
             assert not second.holds_key(5)
             lower = {**GRANT, 'fence': 2}
             reply = await send(SERVER, 'POST', '/v1/grant', lower)
             assert reply.status == 200
-            assert [each.life for each in record.old_fences()] == [second.life]
+            assert [
+                each.incarnation for each in record.find_stale_fences()
+            ] == [second.incarnation]
             await second.async_heartbeat()
             await second.async_crash()
 
@@ -107,7 +111,10 @@
         by_born: dict[int, list[int]] = {}
         for beat in listener.heartbeats():
             by_born.setdefault(beat['born'], []).append(beat['sequence'])
-        assert list(by_born) == [first.life.born_ms, second.life.born_ms]
+        assert list(by_born) == [
+            first.incarnation.started_at_ms,
+            second.incarnation.started_at_ms,
+        ]
         assert all(counts[0] == 1 for counts in by_born.values())
         assert not record.two_owners
 
@@ -123,7 +130,11 @@
         await first.async_start()
         elsewhere = ServerPlan('cases', 'a', '127.71.0.4:18145', REPORTS)
         second = KeyedServer(
-            elsewhere, record, BootClock(), 2, first.life.next_life()
+            elsewhere,
+            record,
+            BootClock(),
+            2,
+            first.incarnation.next_incarnation(),
         )
         await second.async_start()
         for address in (SERVER, elsewhere.address):
--- a/tests/standins/test_strange.py
+++ b/tests/standins/test_strange.py
@@ -7,11 +7,17 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from standins.life import Heartbeat, Life
+from standins.incarnation import Heartbeat, Incarnation
 from standins.strange import OTHER_VALUES, UNKNOWN_WORD, Flaw, spoil
 
 SOUND = Heartbeat(
-    Life('i-1', 1_700_000_000_000), 'cases', '127.0.0.1:1', 'a', 4, 'ready', 3
+    Incarnation('i-1', 1_700_000_000_000),
+    'cases',
+    '127.0.0.1:1',
+    'a',
+    4,
+    'ready',
+    3,
 ).fields()
 SEEDS = st.integers(0, 10_000)
 
