--- a/lab/__init__.py
+++ b/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Play loads against the product's own decisions, in virtual time."""
+"""Simulates load on the product's own decisions, in virtual time."""
--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -1,4 +1,4 @@
-"""Play a deployment against policies, and compare what callers got."""
+"""Simulate a deployment under several policies and compare the results."""
 
 import asyncio
 import json
@@ -12,13 +12,13 @@
 from lab.callers import Callers
 from lab.deployment import DeploymentError, read_deployment
 from lab.policies import POLICY_BY_NAME, PRESENT
-from lab.tally import Tally, shares_by_kind
-from lab.troubles import Troubles
-from lab.world import World
+from lab.statistics import Statistics, shares_by_kind
+from lab.faults import FaultInjector
+from lab.simulation import Simulation
 from tests.virtual import run
 
 EXIT_BAD_INPUT = 2
-WORDS = (
+RESULT_NAMES = (
     'in-time',
     'late',
     'refused',
@@ -29,52 +29,54 @@
 )
 
 
-def play(path: str, policy: str, seed: int) -> dict:
-    """Return the figures of one play."""
+def simulate(path: str, policy: str, seed: int) -> dict:
+    """Simulate a deployment once and return the figures."""
     deployment = read_deployment(Path(path))
-    tally = Tally()
+    statistics = Statistics()
 
-    async def story() -> World:
-        world = World(deployment, POLICY_BY_NAME[policy], tally, seed)
+    async def scenario() -> Simulation:
+        simulation = Simulation(
+            deployment, POLICY_BY_NAME[policy], statistics, seed
+        )
         tasks = [
             asyncio.create_task(each.balance.async_run())
-            for each in world.instances
+            for each in simulation.instances
             if each.service.is_keyed
         ]
-        tasks.append(asyncio.create_task(Troubles(world).async_run()))
-        await Callers(world, tally).async_run()
+        tasks.append(asyncio.create_task(FaultInjector(simulation).async_run()))
+        await Callers(simulation, statistics).async_run()
         for task in tasks:
             task.cancel()
-        return world
+        return simulation
 
-    with POLICY_BY_NAME[policy].in_force():
-        world = run(story())
-    holds = [each.holds for each in world.instances]
+    with POLICY_BY_NAME[policy].applied():
+        simulation = run(scenario())
+    holds = [each.holds for each in simulation.instances]
     return {
         'policy': policy,
         'seed': seed,
-        'worth': tally.worth(),
-        'served': tally.served(),
-        'nines': tally.nines(),
-        'questions': world.questions,
+        'worth': statistics.worth(),
+        'served': statistics.served(),
+        'nines': statistics.nines(),
+        'questions': simulation.polls,
         'moves': sum(each.moves_done for each in holds),
         'moves_failed': sum(each.moves_failed for each in holds),
-        'kinds': shares_by_kind(tally.count_by_kind),
-        'calls': shares_by_kind(tally.calls_by_kind),
+        'kinds': shares_by_kind(statistics.count_by_kind),
+        'calls': shares_by_kind(statistics.calls_by_kind),
     }
 
 
 @click.command()
 @click.argument('paths', nargs=-1, required=True)
-@click.option('--seeds', default=3, help='Plays of each policy.')
+@click.option('--seeds', default=3, help='Simulations of each policy.')
 @click.option(
     '--policy',
     'policies',
     multiple=True,
     type=click.Choice(sorted(POLICY_BY_NAME)),
-    help='May be given several times; the present one by default.',
+    help='Repeatable; the present policy by default.',
 )
-@click.option('--jobs', default=4, help='Plays at a time.')
+@click.option('--jobs', default=4, help='Simulations run at the same time.')
 @click.option('--json', 'as_json', is_flag=True)
 def compare(
     paths: tuple[str, ...],
@@ -90,30 +92,31 @@
     except DeploymentError as error:
         click.echo(str(error), err=True)
         sys.exit(EXIT_BAD_INPUT)
-    plays = list(product(paths, policies or (PRESENT,), range(1, seeds + 1)))
+    runs = list(product(paths, policies or (PRESENT,), range(1, seeds + 1)))
     with ProcessPoolExecutor(jobs) as pool:
-        told = list(pool.map(play, *zip(*plays, strict=True)))
+        figures_by_run = list(pool.map(simulate, *zip(*runs, strict=True)))
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(figures_by_run))
         return
-    for (path, _, _), found in zip(plays, told, strict=True):
-        _show(Path(path).stem, found)
+    for (path, _, _), figures in zip(runs, figures_by_run, strict=True):
+        _print_figures(Path(path).stem, figures)
 
 
-def _show(name: str, found: dict) -> None:
-    """Print what callers got in one play."""
+def _print_figures(name: str, figures: dict) -> None:
+    """Print the figures of one simulation."""
     click.echo(
-        f'{name} {found["policy"]} seed {found["seed"]}: worth '
-        f'{found["worth"]:.3f}, served {found["served"]:.3f}, nines '
-        f'{found["nines"]:.3f}, moves {found["moves"]} '
-        f'(failed {found["moves_failed"]})'
+        f'{name} {figures["policy"]} seed {figures["seed"]}: worth '
+        f'{figures["worth"]:.3f}, served {figures["served"]:.3f}, nines '
+        f'{figures["nines"]:.3f}, moves {figures["moves"]} '
+        f'(failed {figures["moves_failed"]})'
     )
-    for kind, shares in found['kinds'].items():
-        words = ', '.join(
-            f'{word} {shares.get(word, 0.0):.3f}' for word in WORDS
+    for kind, shares in figures['kinds'].items():
+        columns = ', '.join(
+            f'{result_name} {shares.get(result_name, 0.0):.3f}'
+            for result_name in RESULT_NAMES
         )
-        click.echo(f'  {kind}: {words}')
-    for kind, shares in found['calls'].items():
+        click.echo(f'  {kind}: {columns}')
+    for kind, shares in figures['calls'].items():
         click.echo(f'  {kind} (calls): served {shares.get("served", 0):.3f}')
 
 
--- a/lab/deployment.py
+++ b/lab/deployment.py
@@ -1,4 +1,4 @@
-"""Deployments to play, read from TOML files."""
+"""Deployments to simulate, read from TOML files."""
 
 import tomllib
 from pathlib import Path
@@ -11,17 +11,17 @@
 
 
 class DeploymentError(PlantaingradeError):
-    """Report every mistake in a deployment file."""
+    """A deployment file is invalid; the text lists every mistake."""
 
-    advice = 'Mend the lines named.'
+    advice = 'Fix the lines named.'
 
 
-class Part(Struct, frozen=True, forbid_unknown_fields=True):
+class Table(Struct, frozen=True, forbid_unknown_fields=True):
     """One table of a deployment file."""
 
 
-class Ways(Part, frozen=True):
-    """Times one way, in milliseconds."""
+class Delays(Table, frozen=True):
+    """One-way network delays in milliseconds."""
 
     in_zone_ms: float = 0.2
     cross_zone_ms: float = 1.4
@@ -29,8 +29,8 @@
     hop_ms: float = 0.6
 
 
-class Service(Part, frozen=True):
-    """Servers that do the same work; speeds are dealt out in turn."""
+class Service(Table, frozen=True):
+    """Servers that do the same work; they get the speeds in rotation."""
 
     name: str
     servers: int
@@ -39,7 +39,7 @@
     is_keyed: bool = False
 
 
-class Call(Part, frozen=True):
+class Call(Table, frozen=True):
     """Calls that a server makes while it runs a request."""
 
     kind: str
@@ -48,8 +48,8 @@
     is_together: bool = True
 
 
-class Kind(Part, frozen=True):
-    """One kind of requests; those that callers never send have no rate."""
+class RequestKind(Table, frozen=True):
+    """One kind of requests; without a rate, only servers send them."""
 
     name: str
     service: str
@@ -66,8 +66,8 @@
     calls: list[Call] = field(default_factory=list)
 
 
-class Hot(Part, frozen=True):
-    """Neighbouring keys that get a share of all requests with a key."""
+class HotKeys(Table, frozen=True):
+    """Adjacent keys that receive a share of all requests with a key."""
 
     at_s: float
     for_s: float
@@ -75,8 +75,8 @@
     keys: int
 
 
-class Slow(Part, frozen=True):
-    """A share of a service's servers that take several times as long."""
+class Slowdown(Table, frozen=True):
+    """A share of a service's servers whose work takes longer by a factor."""
 
     service: str
     at_s: float
@@ -85,8 +85,8 @@
     times: float
 
 
-class Down(Part, frozen=True):
-    """A share of a service's servers that take no work."""
+class Outage(Table, frozen=True):
+    """A share of a service's servers that accept no work."""
 
     service: str
     at_s: float
@@ -94,26 +94,26 @@
     share: float
 
 
-class Burst(Part, frozen=True):
-    """More requests than usual."""
+class Burst(Table, frozen=True):
+    """A time in which the request rate is multiplied."""
 
     at_s: float
     for_s: float
     times: float
 
 
-class Deployment(Part, frozen=True):
-    """Zones, servers, requests, and what happens to them when."""
+class Deployment(Table, frozen=True):
+    """Zones, services, requests and scheduled faults and bursts."""
 
     zones: list[str]
     service: list[Service]
-    kind: list[Kind]
+    kind: list[RequestKind]
     length_s: float = 15.0
     warm_s: float = 2.0
-    ways: Ways = field(default_factory=Ways)
-    hot: list[Hot] = field(default_factory=list)
-    slow: list[Slow] = field(default_factory=list)
-    down: list[Down] = field(default_factory=list)
+    ways: Delays = field(default_factory=Delays)
+    hot: list[HotKeys] = field(default_factory=list)
+    slow: list[Slowdown] = field(default_factory=list)
+    down: list[Outage] = field(default_factory=list)
     burst: list[Burst] = field(default_factory=list)
 
 
@@ -121,7 +121,7 @@
     """Return the deployment in a file.
 
     Raises:
-        DeploymentError: what is wrong, one mistake a line with its place.
+        DeploymentError: the file is invalid; the text has one mistake a line.
     """
     try:
         text = path.read_text(encoding='utf-8')
@@ -131,8 +131,8 @@
     except ValueError as error:
         raise DeploymentError(f'{path}: {error}') from error
     mistakes = [
-        f'{path}:{_line(text, table, place)}: {what}'
-        for table, place, what in _find_mistakes(tables)
+        f'{path}:{_line_number(text, table, index)}: {message}'
+        for table, index, message in _find_mistakes(tables)
     ]
     if mistakes:
         raise DeploymentError('\n'.join(mistakes))
@@ -140,46 +140,48 @@
 
 
 def _find_mistakes(tables: dict[str, Any]) -> list[tuple[str, int, str]]:
-    """Return table, place among its like, and text of each mistake."""
+    """Return table, index in it, and message of each mistake."""
     mistakes = []
     types = {
         'service': Service,
-        'kind': Kind,
-        'hot': Hot,
-        'slow': Slow,
-        'down': Down,
+        'kind': RequestKind,
+        'hot': HotKeys,
+        'slow': Slowdown,
+        'down': Outage,
         'burst': Burst,
     }
     for table, kind in types.items():
-        for place, each in enumerate(tables.get(table, ())):
-            what = _why_not(each, kind)
-            if what:
-                mistakes.append((table, place, what))
-    rest = {name: each for name, each in tables.items() if name not in types}
-    what = _why_not(rest | {'service': [], 'kind': []}, Deployment)
-    if what:
-        mistakes.append(('', 0, what))
-    return mistakes + _find_unnamed(tables)
-
-
-def _find_unnamed(tables: dict[str, Any]) -> list[tuple[str, int, str]]:
-    """Return the references to services and kinds that are not there."""
+        for index, each in enumerate(tables.get(table, ())):
+            message = _validate(each, kind)
+            if message:
+                mistakes.append((table, index, message))
+    other_tables = {
+        name: each for name, each in tables.items() if name not in types
+    }
+    message = _validate(other_tables | {'service': [], 'kind': []}, Deployment)
+    if message:
+        mistakes.append(('', 0, message))
+    return mistakes + _find_unknown_names(tables)
+
+
+def _find_unknown_names(tables: dict[str, Any]) -> list[tuple[str, int, str]]:
+    """Return references to services and kinds that are not defined."""
     services = {each.get('name') for each in tables.get('service', ())}
     kinds = {each.get('name') for each in tables.get('kind', ())}
     mistakes = []
     for table in ('kind', 'slow', 'down'):
-        for place, each in enumerate(tables.get(table, ())):
+        for index, each in enumerate(tables.get(table, ())):
             service = each.get('service')
             if service not in services:
-                mistakes.append((table, place, f'no service {service!r}'))
+                mistakes.append((table, index, f'no service {service!r}'))
             for call in each.get('calls', ()):
                 if call.get('kind') not in kinds:
-                    what = f'no kind {call.get("kind")!r} to call'
-                    mistakes.append((table, place, what))
+                    message = f'no kind {call.get("kind")!r} to call'
+                    mistakes.append((table, index, message))
     return mistakes
 
 
-def _why_not(table: Any, kind: type[Part]) -> str:
+def _validate(table: Any, kind: type[Table]) -> str:
     try:
         msgspec.convert(table, kind)
     except msgspec.ValidationError as error:
@@ -187,11 +189,11 @@
     return ''
 
 
-def _line(text: str, table: str, place: int) -> int:
+def _line_number(text: str, table: str, index: int) -> int:
     """Return the line on which a table begins."""
-    heads = [
+    headings = [
         number
         for number, line in enumerate(text.splitlines(), start=1)
         if line.strip() == f'[[{table}]]'
     ]
-    return heads[place] if place < len(heads) else 1
+    return headings[index] if index < len(headings) else 1
--- a/lab/troubles.py
+++ b/lab/faults.py
@@ -1,23 +1,23 @@
-"""What happens to servers while they are played."""
+"""Faults of servers during a simulation."""
 
 import asyncio
 import random
 
-from lab.world import Instance, World
+from lab.simulation import Instance, Simulation
 from plantaingrade.backends.life import LifeState
 
 
-class Troubles:
-    """The troubles of a deployment, at their times."""
+class FaultInjector:
+    """Slows down and takes down servers at the times of a deployment."""
 
-    def __init__(self, world: World) -> None:
-        """Trouble the servers of a world."""
-        self._world = world
-        self._random = random.Random(f'troubles/{world.seed}')
+    def __init__(self, simulation: Simulation) -> None:
+        """Create an injector for the servers of a simulation."""
+        self._simulation = simulation
+        self._random = random.Random(f'troubles/{simulation.seed}')
 
     async def async_run(self) -> None:
-        """Play all troubles."""
-        deployment = self._world.deployment
+        """Execute all faults."""
+        deployment = self._simulation.deployment
         await asyncio.gather(
             *(self._async_slow(each) for each in deployment.slow),
             *(self._async_down(each) for each in deployment.down),
@@ -27,10 +27,10 @@
         await asyncio.sleep(slow.at_s)
         chosen = self._draw(slow.service, slow.share)
         for instance in chosen:
-            instance.slow_times = slow.times
+            instance.slowdown = slow.times
         await asyncio.sleep(slow.for_s)
         for instance in chosen:
-            instance.slow_times = 1.0
+            instance.slowdown = 1.0
 
     async def _async_down(self, down) -> None:
         await asyncio.sleep(down.at_s)
@@ -46,7 +46,7 @@
     def _draw(self, service: str, share: float) -> list[Instance]:
         servers = [
             each
-            for each in self._world.instances
+            for each in self._simulation.instances
             if each.service.name == service
         ]
         return self._random.sample(servers, max(1, round(share * len(servers))))
--- a/lab/keys.py
+++ b/lab/keys.py
@@ -1,7 +1,7 @@
-"""Keys of one service in the lab: who owns them, and how they move.
+"""Keys of one service in the lab: their owners and transfers.
 
-A move releases its keys, waits for the work that runs on them, and changes the
-one map of the service, whose changes wait for each other.
+A transfer releases its keys, waits for the running work on them, and changes
+the shared map of the service. Changes of the map are made one at a time.
 """
 
 import asyncio
@@ -17,18 +17,18 @@
 from plantaingrade.keyspace.entity import Assignment, KeyRange
 from plantaingrade.peers.entity import Member
 
-# One way to the store, and the turn of one change in its part.
-STORE_WAY_S = 0.003
+# One-way delay to the store, and time that it takes for one change of a part.
+STORE_DELAY_S = 0.003
 CHANGE_S = 1 / 150
-# Time from the change until the new owner's server has its grant.
+# Time from the change until the new owner's server has the grant.
 GRANT_S = 0.004
 
 
 class SharedMap:
-    """The one map of a service, as the store keeps it."""
+    """The map of a service in the store."""
 
     def __init__(self, service: str, maps: KeyMaps, names: list[str]) -> None:
-        """Give each member the same number of keys."""
+        """Create a map in which members own equal numbers of keys."""
         self.service = service
         self.maps = maps
         self.free_at = 0.0
@@ -37,10 +37,10 @@
         maps.update_if_newer(service, split_evenly(names).at_version(1))
 
     async def async_change(self, owner_by_keys: dict[KeyRange, str]) -> bool:
-        """Take a turn; tell whether nobody else changed the map meanwhile."""
+        """Change the map in its turn; return False on a version conflict."""
         loop = asyncio.get_running_loop()
         known = self.maps.find(self.service)
-        await asyncio.sleep(STORE_WAY_S)
+        await asyncio.sleep(STORE_DELAY_S)
         self.free_at = max(self.free_at, loop.time()) + CHANGE_S
         await asyncio.sleep(self.free_at - loop.time())
         is_done = known.version == self.maps.find(self.service).version
@@ -52,22 +52,22 @@
             )
         else:
             self.conflicts += 1
-        await asyncio.sleep(STORE_WAY_S)
+        await asyncio.sleep(STORE_DELAY_S)
         return is_done
 
 
-class Released(Struct, frozen=True):
-    """Ranges that have been released, and whether they have passed."""
+class ReleasedRanges(Struct, frozen=True):
+    """Released ranges that wait for the change of their owners."""
 
     owner_by_keys: dict[KeyRange, str]
     is_done: asyncio.Future[bool]
 
 
 class LabRegistry:
-    """What the balance reads of a member's rows."""
+    """The part of a member's registry that the balance reads."""
 
     def __init__(self, shared: SharedMap, member: Member) -> None:
-        """Know one member of a service."""
+        """Create the registry of one member of a service."""
         self._shared = shared
         self.member = member
         self.is_joined = True
@@ -83,10 +83,10 @@
 
 
 class LabHolds:
-    """The keys of one member: moved as the product's transfers do."""
+    """The keys of one member; transfers follow the product's steps."""
 
     def __init__(self, shared: SharedMap, member: Member) -> None:
-        """Hold what the shared map says."""
+        """Hold the ranges that the shared map assigns to the member."""
         self.registry = LabRegistry(shared, member)
         self.moves_done = 0
         self.moves_failed = 0
@@ -96,15 +96,15 @@
         self._granted_at: dict[KeyRange, float] = {}
         self._unheld = UnheldRanges()
         self._running: dict[int, int] = {}
-        self._ready: list[Released] = []
+        self._ready: list[ReleasedRanges] = []
         self._writing = asyncio.Lock()
 
     def begin(self, key: int) -> None:
-        """Count work on a key."""
+        """Count the start of work on a key."""
         self._running[key] = self._running.get(key, 0) + 1
 
     def end(self, key: int) -> None:
-        """Count work on a key that has ended."""
+        """Count the end of work on a key."""
         self._running[key] -= 1
         if not self._running[key]:
             self._running.pop(key)
@@ -116,13 +116,13 @@
         return found if is_own else None
 
     def is_held(self, key: int) -> bool:
-        """Tell whether work on a key may begin now."""
+        """Return whether work on a key may start now."""
         if self.find_own(key) is None:
             return False
         return all(key not in keys for keys in self._moving)
 
     def is_overdue(self, key: int) -> bool:
-        """Tell whether a key on the move is not worth waiting for."""
+        """Return whether a moving key is overdue, so waiting is no use."""
         now = asyncio.get_running_loop().time()
         for keys in self._moving:
             if key in keys:
@@ -130,18 +130,18 @@
         return False
 
     async def async_wait_change(self, limit_s: float) -> None:
-        """Look again soon."""
+        """Wait for a short time, within a limit in seconds."""
         await asyncio.sleep(min(limit_s, 2 * GRANT_S))
 
     async def async_is_store_there(self) -> bool:
-        """Tell that the store is there."""
+        """Return True: the store of the lab never fails."""
         return True
 
     def on_hint(self, version: int) -> None:
-        """Know the newest map already."""
+        """Ignore a hint; the shared map is always the newest."""
 
     async def async_give(self, keys: list[KeyRange], target: str) -> bool:
-        """Release, change the map, and have the target hold the keys."""
+        """Transfer keys to a target; return whether the map was changed."""
         if any(each.overlap(one) for each in keys for one in self._moving):
             return False
         pieces = [
@@ -152,7 +152,7 @@
         ]
         self._moving.update(keys)
         try:
-            await self._async_wait_out(keys)
+            await self._async_wait_for_work(keys)
             is_done = await self._async_commit(dict.fromkeys(pieces, target))
             await asyncio.sleep(GRANT_S)
         finally:
@@ -161,35 +161,35 @@
         self.moves_failed += not is_done
         return is_done
 
-    async def _async_wait_out(self, keys: list[KeyRange]) -> None:
+    async def _async_wait_for_work(self, keys: list[KeyRange]) -> None:
         while any(key in each for key in self._running for each in keys):
             await asyncio.sleep(GRANT_S)
 
     async def _async_commit(self, owner_by_keys: dict[KeyRange, str]) -> bool:
-        """Change the map once for all moves that are ready then."""
+        """Change the map once for all transfers that are ready by then."""
         move = asyncio.get_running_loop().create_future()
-        self._ready.append(Released(owner_by_keys, move))
+        self._ready.append(ReleasedRanges(owner_by_keys, move))
         async with self._writing:
             if not move.done():
-                joint = self._ready
+                batch = self._ready
                 self._ready = []
                 merged = {}
-                for each in joint:
+                for each in batch:
                     merged.update(each.owner_by_keys)
                 is_done = await self._async_change(merged)
-                for each in joint:
+                for each in batch:
                     each.is_done.set_result(is_done)
         return move.result()
 
     async def _async_change(self, owner_by_keys: dict[KeyRange, str]) -> bool:
         loop = asyncio.get_running_loop()
-        ends = loop.time() + CROWDED_LIMIT_S
+        ends_at = loop.time() + CROWDED_LIMIT_S
         turns = self.registry.turns
-        while loop.time() <= ends:
+        while loop.time() <= ends_at:
             sent_at = loop.time()
             if await self._shared.async_change(owner_by_keys):
                 turns.on_done()
                 return True
             pause_s = turns.on_late(loop.time() - sent_at)
-            await asyncio.sleep(max(0.0, min(pause_s, ends - loop.time())))
+            await asyncio.sleep(max(0.0, min(pause_s, ends_at - loop.time())))
         return False
--- a/lab/policies.py
+++ b/lab/policies.py
@@ -14,7 +14,7 @@
 
 
 class Patch(Struct, frozen=True):
-    """Another value of a module's constant."""
+    """A replacement value for a module's constant."""
 
     module: str
     name: str
@@ -22,38 +22,38 @@
 
 
 class Policy(Struct, frozen=True):
-    """A way to decide; ``asks_rooms`` places by what is free now."""
+    """A set of decisions; ``polls_capacity`` places by free capacity."""
 
     name: str
     patches: tuple[Patch, ...] = ()
-    asks_rooms: bool = True
+    polls_capacity: bool = True
 
-    def choosing(self, instance: Any) -> tuple:
-        """Return what the choice of servers is made with."""
-        if self.asks_rooms:
-            return (instance.peers.async_ask_rooms,)
-        return (_async_ask_nobody,)
+    def chooser_arguments(self, instance: Any) -> tuple:
+        """Return the further arguments of an instance's ``TargetChooser``."""
+        if self.polls_capacity:
+            return (instance.peers.async_poll_capacity,)
+        return (_async_poll_nobody,)
 
     @contextmanager
-    def in_force(self) -> Iterator[None]:
-        """Change the constants while the body of the ``with`` runs."""
-        before = [_exchange(patch) for patch in self.patches]
+    def applied(self) -> Iterator[None]:
+        """Replace the constants during the ``with`` block."""
+        previous = [_apply(patch) for patch in self.patches]
         try:
             yield
         finally:
-            for patch in before:
-                _exchange(patch)
+            for patch in previous:
+                _apply(patch)
 
 
-def _exchange(patch: Patch) -> Patch:
-    """Set a constant; return the patch that sets it back."""
+def _apply(patch: Patch) -> Patch:
+    """Set a constant; return the patch that restores it."""
     module = importlib.import_module(f'plantaingrade.{patch.module}')
-    before = getattr(module, patch.name)
+    previous = getattr(module, patch.name)
     setattr(module, patch.name, patch.value)
-    return Patch(patch.module, patch.name, before)
+    return Patch(patch.module, patch.name, previous)
 
 
-async def _async_ask_nobody(
+async def _async_poll_nobody(
     members: Sequence[Member], kind: str, priority: int
 ) -> dict[str, FreeCapacity]:
     return {}
@@ -66,7 +66,7 @@
 NEVER = float('inf')
 POLICIES = (
     Policy(PRESENT),
-    Policy('loads', asks_rooms=False),
+    Policy('loads', polls_capacity=False),
     Policy('ask-one', (Patch('requests.selection', 'MAX_POLLED', 1),)),
     Policy('ask-six', (Patch('requests.selection', 'MAX_POLLED', 6),)),
     _without('crossing', 'requests.selection', 'CROSS_ZONE_FACTOR', 0.0),
--- a/lab/world.py
+++ b/lab/simulation.py
@@ -1,7 +1,7 @@
 """The instances of a deployment, in one process and virtual time.
 
-Requests take the product's own path: routing, placing, admission, balancing.
-Only what lies below is made up: the network, the store and the servers.
+Requests pass through the product's own routing, placement, admission and
+balancing. The network, the store and the servers are simulated.
 """
 
 import asyncio
@@ -9,7 +9,7 @@
 import random
 from collections.abc import Sequence
 
-from lab.deployment import Deployment, Kind, Service
+from lab.deployment import Deployment, RequestKind, Service
 from lab.keys import LabHolds, SharedMap
 from plantaingrade.admission.gate import Gate
 from plantaingrade.admission.service_retries import ServiceRetryBudget
@@ -58,10 +58,10 @@
 
 
 class LabServerPath(ServerPath):
-    """The product's path to a server, with a made-up server at its end."""
+    """The product's path to a server, with a simulated server at its end."""
 
     def __init__(self, instance: 'Instance', *parts) -> None:
-        """Run what is sent at the instance's server."""
+        """Create the path to the server of an instance."""
         super().__init__(*parts)
         self._instance = instance
 
@@ -71,11 +71,11 @@
         return await self._instance.async_work(routed)
 
 
-class LabOthers(ServicePeers):
-    """The members that may take keys; none has a row in the lab."""
+class LabServicePeers(ServicePeers):
+    """Members that may receive keys; no member has a row in the lab."""
 
     def receivers(self, now: float) -> dict[str, Load]:
-        """Return the members that have told their loads."""
+        """Return the members whose loads are known and that are not leaving."""
         loads = {name: self.loads.find(name, now) for name in self.names()}
         return {
             name: load
@@ -85,93 +85,101 @@
 
 
 class LabPeers:
-    """Ways to other instances, each with its delay."""
+    """Connections to other instances, with network delays."""
 
     def __init__(self, own: 'Instance') -> None:
-        """Send on behalf of one instance."""
+        """Create the connections of one instance."""
         self._own = own
-        self._world = own.world
+        self._simulation = own.simulation
 
     async def async_serve(
         self, routed: RoutedRequest, member: Member, map_version: int = 0
     ) -> Outcome:
-        """Return what became of a request at another instance."""
-        other = self._world.instance_by_name[member.name]
-        way_s = self._world.way_s(self._own, other)
-        await asyncio.sleep(way_s)
-        outcome = await other.server.async_serve(routed, map_version)
-        load = other.balance.load()
-        await asyncio.sleep(way_s)
+        """Run a request at another instance and return its outcome."""
+        peer = self._simulation.instance_by_name[member.name]
+        delay_s = self._simulation.delay_s(self._own, peer)
+        await asyncio.sleep(delay_s)
+        outcome = await peer.server.async_serve(routed, map_version)
+        load = peer.balance.load()
+        await asyncio.sleep(delay_s)
         now = asyncio.get_running_loop().time()
         self._own.loads.record(member.name, load, now)
         return outcome
 
-    async def async_ask_rooms(
+    async def async_poll_capacity(
         self, members: Sequence[Member], kind: str, priority: int
     ) -> dict[str, FreeCapacity]:
-        """Ask members for their room, as by datagram."""
-        others = [self._world.instance_by_name[each.name] for each in members]
-        if not others:
+        """Ask members for their free capacity, as by datagram."""
+        peers = [
+            self._simulation.instance_by_name[each.name] for each in members
+        ]
+        if not peers:
             return {}
-        way_s = max(self._world.way_s(self._own, each) for each in others)
-        await asyncio.sleep(way_s)
-        room_by_name = {
+        delay_s = max(
+            self._simulation.delay_s(self._own, each) for each in peers
+        )
+        await asyncio.sleep(delay_s)
+        capacity_by_name = {
             each.member.name: each.server.free_capacity(kind, priority)
-            for each in others
+            for each in peers
         }
-        self._world.questions += len(others)
-        await asyncio.sleep(way_s)
+        self._simulation.polls += len(peers)
+        await asyncio.sleep(delay_s)
         return {
-            name: room
-            for name, room in room_by_name.items()
-            if room is not None
+            name: capacity
+            for name, capacity in capacity_by_name.items()
+            if capacity is not None
         }
 
     async def async_offer(self, target: str, offer: Offer) -> OfferReply:
-        """Ask a member to take over work."""
-        other = self._world.instance_by_name[target]
-        way_s = self._world.way_s(self._own, other)
-        await asyncio.sleep(way_s)
-        reply = other.balance.on_offer(offer)
-        await asyncio.sleep(way_s)
+        """Offer work to a member and return its reply."""
+        peer = self._simulation.instance_by_name[target]
+        delay_s = self._simulation.delay_s(self._own, peer)
+        await asyncio.sleep(delay_s)
+        reply = peer.balance.on_offer(offer)
+        await asyncio.sleep(delay_s)
         return reply
 
     def tell_load(self, load: Load, names: list[str]) -> None:
-        """Tell some members of the own load."""
+        """Send the own load to some members."""
         loop = asyncio.get_running_loop()
         for name in names:
-            other = self._world.instance_by_name[name]
-            way_s = self._world.way_s(self._own, other)
-            loop.call_later(way_s, other.hear_load, self._own, load)
+            peer = self._simulation.instance_by_name[name]
+            delay_s = self._simulation.delay_s(self._own, peer)
+            loop.call_later(delay_s, peer.receive_load, self._own, load)
 
 
 class Instance:
-    """One process of the product and the server beside it."""
+    """One process of the product and its backend server."""
 
     def __init__(
-        self, world: 'World', service: Service, zone: str, place: int
+        self, simulation: 'Simulation', service: Service, zone: str, index: int
     ) -> None:
-        """Join the product's parts as its process does."""
-        self.world = world
+        """Create an instance; ``build`` connects the product's parts."""
+        self.simulation = simulation
         self.service = service
         self.zone = zone
-        self.speed = service.speeds[place % len(service.speeds)]
-        name = f'{service.name}@{place}'
+        self.speed = service.speeds[index % len(service.speeds)]
+        name = f'{service.name}@{index}'
         self.member = Member(name, service.name, zone, f'{name}:1', name)
         self.loads = PeerLoads()
-        self.slow_times = 1.0
-        self.random = random.Random(f'{name}/{world.seed}')
+        self.slowdown = 1.0
+        self.random = random.Random(f'{name}/{simulation.seed}')
         self.peers = LabPeers(self)
 
     def build(self, shared: SharedMap | None) -> None:
-        """Build the path, once all members are known."""
-        world = self.world
-        clock, log, directory = world.clock, world.log, world.directory
+        """Connect the product's parts, once all members are known."""
+        simulation = self.simulation
+        clock, log, directory = (
+            simulation.clock,
+            simulation.log,
+            simulation.directory,
+        )
         self.life = BackendLife()
         self.life.state = LifeState.READY
         self.gate = Gate.from_slots(self.service.slots, clock)
-        self.holds = LabHolds(shared or world.no_map, self.member)
-        others = LabOthers(
+        self.holds = LabHolds(shared or simulation.no_map, self.member)
+        peers = LabServicePeers(
             self.member, self.holds.registry, directory, self.loads
         )
         self.balance = BalanceCoordinator(
@@ -179,7 +187,7 @@
             self.holds,
             self.life,
             self.gate.queue,
-            others,
+            peers,
             self.peers,
             self.peers,
             clock,
@@ -187,7 +195,7 @@
         )
         self.server = LabServerPath(
             self,
-            ServerCodec('', _nothing, _nothing),
+            ServerCodec('', _ignore, _ignore),
             self.life,
             self.holds,
             self.gate,
@@ -196,40 +204,40 @@
             log,
             ServerHooks(
                 lambda: self.service.is_keyed,
-                _nothing,
+                _ignore,
                 self.balance.observe,
-                _nothing,
+                _ignore,
             ),
         )
         self.requests = RequestCoordinator(
             self.member,
-            world,
+            simulation,
             TargetChooser(
                 self.member,
                 directory,
-                world.maps,
+                simulation.maps,
                 clock,
-                _nothing,
-                _nothing,
+                _ignore,
+                _ignore,
                 self._load_of,
-                *world.policy.choosing(self),
+                *simulation.policy.chooser_arguments(self),
             ),
             self.server,
             self.peers,
             ServiceRetryBudget(RETRY_RATIO, RETRY_SLACK, RETRY_WINDOW_S),
             clock,
             log,
-            _nothing,
+            _ignore,
         )
 
-    def hear_load(self, other: 'Instance', load: Load) -> None:
-        """Take a load that another instance told."""
+    def receive_load(self, peer: 'Instance', load: Load) -> None:
+        """Record a load that another instance sent."""
         now = asyncio.get_running_loop().time()
-        self.loads.record(other.member.name, load, now)
+        self.loads.record(peer.member.name, load, now)
 
     async def async_work(self, routed: RoutedRequest) -> Outcome:
-        """Run one request at the server, with the calls that it makes."""
-        kind = self.world.kind_of(routed.caller)
+        """Run one request at the server, including the calls that it makes."""
+        kind = self.simulation.find_kind(routed.caller)
         key = routed.caller.key
         if key is not None:
             self.holds.begin(key)
@@ -239,9 +247,11 @@
             if key is not None:
                 self.holds.end(key)
 
-    async def _async_work(self, kind: Kind, routed: RoutedRequest) -> Outcome:
+    async def _async_work(
+        self, kind: RequestKind, routed: RoutedRequest
+    ) -> Outcome:
         scale = self.random.lognormvariate(-(kind.spread**2) / 2, kind.spread)
-        work_s = kind.work_ms / MS_PER_S * scale * self.slow_times / self.speed
+        work_s = kind.work_ms / MS_PER_S * scale * self.slowdown / self.speed
         await asyncio.sleep(work_s / 2)
         for call in kind.calls:
             count = sum(
@@ -255,7 +265,7 @@
     async def _async_call_all(
         self, call, count: int, routed: RoutedRequest
     ) -> bool:
-        kind = self.world.kind_by_name[call.kind]
+        kind = self.simulation.kind_by_name[call.kind]
         if call.is_together:
             calls = (self._async_call(kind, routed) for _ in range(count))
             return all(await asyncio.gather(*calls))
@@ -264,14 +274,16 @@
                 return False
         return True
 
-    async def _async_call(self, kind: Kind, routed: RoutedRequest) -> bool:
+    async def _async_call(
+        self, kind: RequestKind, routed: RoutedRequest
+    ) -> bool:
         now = asyncio.get_running_loop().time()
         deadline = min(
             now + kind.deadline_ms / MS_PER_S, routed.caller.deadline
         )
-        request = self.world.request(kind, now, deadline, None)
+        request = self.simulation.request(kind, now, deadline, None)
         outcome = await self.requests.async_serve(request)
-        self.world.tally.note_call(kind, outcome)
+        self.simulation.statistics.record_call(kind, outcome)
         return outcome == SERVED
 
     def _load_of(self, name: str, now: float) -> Load | None:
@@ -280,23 +292,23 @@
         return self.loads.find(name, now)
 
 
-class World:
-    """All instances, and what they share."""
+class Simulation:
+    """All instances and the state that they share."""
 
     version = 1
 
-    def __init__(self, deployment: Deployment, policy, tally, seed: int):
-        """Build every instance; must be called within a running loop."""
+    def __init__(self, deployment: Deployment, policy, statistics, seed: int):
+        """Build every instance; requires a running event loop."""
         self.deployment = deployment
         self.policy = policy
-        self.tally = tally
+        self.statistics = statistics
         self.seed = seed
         self.random = random.Random(seed)
         self.clock = LoopClock()
         self.log = EventLog('lab', self.clock, os.open(os.devnull, os.O_WRONLY))
         self.maps = KeyMaps()
         self.directory = Directory()
-        self.questions = 0
+        self.polls = 0
         self.kind_by_name = {each.name: each for each in deployment.kind}
         self.routes = RouteTable(self._config())
         self.no_map = SharedMap('', KeyMaps(), [])
@@ -306,28 +318,28 @@
         }
         self._build()
 
-    def way_s(self, one: Instance, other: Instance) -> float:
-        """Return the time from one instance to another."""
-        ways = self.deployment.ways
-        way_ms = ways.cross_zone_ms
-        if one.zone == other.zone:
-            way_ms = ways.in_zone_ms
-        return (way_ms + ways.hop_ms) / MS_PER_S
+    def delay_s(self, one: Instance, peer: Instance) -> float:
+        """Return the one-way delay between two instances in seconds."""
+        delays = self.deployment.ways
+        delay_ms = delays.cross_zone_ms
+        if one.zone == peer.zone:
+            delay_ms = delays.in_zone_ms
+        return (delay_ms + delays.hop_ms) / MS_PER_S
 
-    def has_room(self, service: str) -> bool:
-        """Tell whether any server of a service has a free slot."""
+    def has_free_slot(self, service: str) -> bool:
+        """Return whether any server of a service has a free slot."""
         return any(
             each.gate.queue.running < each.service.slots
             for each in self.instances
             if each.service.name == service and each.life.takes_work
         )
 
-    def kind_of(self, caller: CallerRequest) -> Kind:
+    def find_kind(self, caller: CallerRequest) -> RequestKind:
         """Return the kind of a request."""
         return self.kind_by_name[caller.target.decode().strip('/')]
 
     def request(
-        self, kind: Kind, now: float, deadline: float, key: int | None
+        self, kind: RequestKind, now: float, deadline: float, key: int | None
     ) -> CallerRequest:
         """Return a request that arrives now."""
         target = f'/{kind.name}/'.encode()
@@ -353,14 +365,14 @@
         return RoutingConfig(1, routes, {}, LIMITS)
 
     def _instances(self) -> list[Instance]:
-        """Return the instances; zones get servers of all speeds in turn."""
+        """Return the instances; every zone gets servers of all speeds."""
         zones = self.deployment.zones
         instances = []
         for service in self.deployment.service:
-            for place in range(service.servers):
-                turn = place + place // len(service.speeds)
-                zone = zones[turn % len(zones)]
-                instances.append(Instance(self, service, zone, place))
+            for index in range(service.servers):
+                position = index + index // len(service.speeds)
+                zone = zones[position % len(zones)]
+                instances.append(Instance(self, service, zone, index))
         return instances
 
     def _build(self) -> None:
@@ -383,5 +395,5 @@
             instance.build(self.shared_by_service.get(instance.service.name))
 
 
-def _nothing(*_) -> None:
-    """Stand for what the lab does not play."""
+def _ignore(*_) -> None:
+    """Callback for events that the lab does not simulate."""
