--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,4 @@
-"""Small stand-ins for what surrounds the system, with faults to order."""
+"""Stand-ins for the servers and services around the system.
+
+Their faults can be turned on and off over HTTP.
+"""
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -1,4 +1,4 @@
-"""Backend servers that own keys, of two vendors' dialects."""
+"""Stand-in for a backend server, with two dialects of status and errors."""
 
 import asyncio
 import hashlib
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class Work:
-    """One request as the server sees it."""
+    """One request with the headers that a backend server evaluates."""
 
     request_id: str
     method: str
@@ -52,7 +52,7 @@
 
     @classmethod
     def from_request(cls, request: Request) -> 'Work':
-        """Read the router's headers."""
+        """Build from a request and the headers that the router added."""
         headers = dict(request.headers)
         parts = request.target.split(b'/')
         return cls(
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True)
 class BackendSettings:
-    """How one server behaves."""
+    """Identity and behaviour of one backend server."""
 
     name: str
     slots: int
@@ -81,7 +81,7 @@
 
 
 class ExecutionLog:
-    """Append what was run to a file that outlives the process."""
+    """Append execution events to a file that outlives the process."""
 
     def __init__(self, path: str) -> None:
         """Open the file for appending."""
@@ -96,10 +96,10 @@
         server: str,
         limit: float = FOREVER,
     ) -> None:
-        """Append one event; the kernel keeps it even if this process dies.
+        """Append one event; it reaches the kernel even if this process dies.
 
-        Work that was stopped did nothing after its limit, however late a
-        frozen server noticed.
+        ``limit`` caps the recorded time: stopped work did nothing after it,
+        even if a paused server noticed later.
         """
         line = json.dumps(
             {
@@ -118,7 +118,10 @@
 
 @dataclass(slots=True)
 class BackendStandIn:
-    """Run work in slots, check fences if it is that kind, keep a log."""
+    """Run requests in a limited number of slots and log each execution.
+
+    Fences are checked if ``settings.checks_fence`` is set.
+    """
 
     settings: BackendSettings
     clock: Clock
@@ -131,12 +134,12 @@
 
     async def async_handle(self, request: Request, channel: Channel) -> None:
         """Serve one request."""
-        if await self.faults.async_order(request, channel):
+        if await self.faults.async_handle_command(request, channel):
             return
         if self.faults.silent:
             await asyncio.sleep(FOREVER)
         if request.target in {b'/status', b'/health'}:
-            self._report(channel)
+            self._send_status(channel)
         elif request.target == b'/lease':
             until = dict(request.headers).get(HEADER_LEASE_UNTIL, b'0')
             self.granted_until = max(self.granted_until, float(until))
@@ -163,7 +166,7 @@
             self.in_flight -= 1
 
     async def _run(self, work: Work) -> bool:
-        """Run the work; return False if it had to stop before its end."""
+        """Run the work; return False if it was stopped before its end."""
         name = self.settings.name
         now = self.clock.now()
         if now > work.deadline:
@@ -176,7 +179,7 @@
                 await asyncio.sleep(min(CHECK_EVERY_S, ends_at - now))
                 now = self.clock.now()
                 if now > work.deadline or self._is_stale(work):
-                    limit = self._limit(work)
+                    limit = self._work_limit(work)
                     self.log.write('stopped', work, now, name, limit)
                     return False
         except asyncio.CancelledError:
@@ -185,7 +188,7 @@
         self.log.write('end', work, now, name)
         return True
 
-    def _limit(self, work: Work) -> float:
+    def _work_limit(self, work: Work) -> float:
         if self.settings.checks_fence and work.slice_id:
             lease = max(work.lease_until, self.granted_until)
             return min(work.deadline, lease)
@@ -216,7 +219,7 @@
         headers = ((HEADER_REQUEST_ID, work.request_id.encode()),)
         send_plain(channel, OK, answer.encode(), headers)
 
-    def _report(self, channel: Channel) -> None:
+    def _send_status(self, channel: Channel) -> None:
         state = self.faults.lie_state or self._state()
         in_flight, slots = self.in_flight, self.settings.slots
         if self.settings.dialect == 'status':
@@ -228,8 +231,8 @@
                 }
             )
         else:
-            word = {'warming': 'WARM', 'ready': 'OK'}.get(state, 'BUSY')
-            report = f'{word} load={in_flight}/{slots}'
+            state_text = {'warming': 'WARM', 'ready': 'OK'}.get(state, 'BUSY')
+            report = f'{state_text} load={in_flight}/{slots}'
         send_plain(channel, OK, report.encode(), ())
 
     def _state(self) -> str:
@@ -238,27 +241,27 @@
 
     def _shed(self, channel: Channel) -> None:
         if self.settings.dialect == 'status':
-            mark = ((b'x-not-started', b'slots'),)
-            send_plain(channel, UNAVAILABLE, b'', mark)
+            headers = ((b'x-not-started', b'slots'),)
+            send_plain(channel, UNAVAILABLE, b'', headers)
         else:
             send_plain(channel, TOO_MANY, b'', ())
 
     def _refuse_fence(self, channel: Channel) -> None:
         if self.settings.dialect == 'status':
-            mark = ((b'x-not-started', b'fence'),)
-            send_plain(channel, CONFLICT, b'', mark)
+            headers = ((b'x-not-started', b'fence'),)
+            send_plain(channel, CONFLICT, b'', headers)
         else:
             send_plain(channel, PRECONDITION, b'', ((b'fence', b'stale'),))
 
 
 def digest(request_id: str, key: str, filler: str) -> str:
-    """Return the checksum by which a caller knows its own whole answer."""
+    """Return the checksum by which a caller verifies its answer."""
     text = f'{request_id}|{key}|{filler}'
     return hashlib.blake2b(text.encode()).hexdigest()
 
 
 async def async_serve(address: str, settings: BackendSettings) -> None:
-    """Serve until cancelled."""
+    """Serve one backend server until cancelled."""
     clock = BootClock()
     log = ExecutionLog(settings.log_path)
     backend = BackendStandIn(settings, clock, log, clock.now())
--- a/standins/cold.py
+++ b/standins/cold.py
@@ -1,23 +1,23 @@
-"""How long the stand-in for a backend server stays cold."""
+"""Cold period of the stand-in for a backend server."""
 
 from plantaingrade.clock import Clock
 
 
-class Coldness:
-    """Time left until a server is warm."""
+class ColdPeriod:
+    """Tracks when a server is warm."""
 
     __slots__ = ('_clock', '_until')
 
     def __init__(self, clock: Clock) -> None:
-        """Start warm."""
+        """Create a period that is over: the server is warm."""
         self._clock = clock
         self._until = 0.0
 
     def start(self, seconds: float) -> None:
-        """Be cold from now on, for so long."""
+        """Start a cold period of some seconds from now."""
         self._until = self._clock.now() + seconds
 
     @property
-    def left_s(self) -> float:
-        """Return the time until the server is warm."""
+    def remaining_s(self) -> float:
+        """Return the seconds until the server is warm, 0 if it is."""
         return max(0.0, self._until - self._clock.now())
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a stand-in shows on order."""
+"""Faults that a stand-in injects on command."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class Faults:
-    """Which faults are on; all off at first."""
+    """Active faults; none at first. Field names are keys of the command."""
 
     down: bool = False
     slow_s: float = 0.0
@@ -27,20 +27,22 @@
     silent: bool = False
 
     def loses_answer(self) -> bool:
-        """Tell whether this answer is lost after the write."""
+        """Return whether this answer is lost after the write."""
         return random.random() < self.lose_answers
 
     def refuses(self) -> bool:
-        """Tell whether this request is over the rate."""
+        """Return whether this request is refused for its rate."""
         return random.random() < self.refuse_share
 
     async def async_delay(self) -> None:
-        """Wait as long as a slow service does."""
+        """Wait for the delay of a slow service."""
         if self.slow_s:
             await asyncio.sleep(self.slow_s)
 
-    async def async_order(self, request: Request, channel: Channel) -> bool:
-        """Take an order in; tell whether the request was one."""
+    async def async_handle_command(
+        self, request: Request, channel: Channel
+    ) -> bool:
+        """Apply a fault command; return whether the request was one."""
         if request.target != FAULT_TARGET:
             return False
         wanted = json.loads(await read_body(channel))
--- a/standins/fences.py
+++ b/standins/fences.py
@@ -1,4 +1,4 @@
-"""Under which fences lives of servers took keys. Pure."""
+"""Fences under which server incarnations acquired keys. Pure."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -8,8 +8,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Taken:
-    """Keys that a life took under a fence, other than by a renewal."""
+class Acquisition:
+    """Keys that an incarnation acquired under a fence; no renewal."""
 
     service: str
     instance: str
@@ -21,34 +21,39 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """Return the life that took the keys."""
+        """Return the incarnation that acquired the keys."""
         return Incarnation(self.instance, self.born_ms)
 
     @property
     def keys(self) -> KeyRange:
-        """Return the keys."""
+        """Return the range of the keys."""
         return KeyRange(self.first, self.last)
 
 
-def find_stale_acquisitions(taken: Sequence[Taken]) -> list[Taken]:
-    """Return what was taken under a fence that is not above all before.
+def find_stale_acquisitions(
+    acquisitions: Sequence[Acquisition],
+) -> list[Acquisition]:
+    """Return the acquisitions whose fence does not supersede earlier ones.
 
-    Fences of the same life may stay as they are; those under which other
-    lives had some of the keys must be below.
+    An incarnation may acquire keys again under the same fence; fences under
+    which other incarnations had any of these keys must be lower.
     """
-    last_by_keys: dict[tuple[Incarnation, KeyRange], Taken] = {}
+    latest_by_keys: dict[tuple[Incarnation, KeyRange], Acquisition] = {}
     found = []
-    for each in sorted(taken, key=lambda one: one.taken_at):
-        if any(_is_not_above(each, before) for before in last_by_keys.values()):
+    for each in sorted(acquisitions, key=lambda one: one.taken_at):
+        if any(
+            _has_stale_fence(each, earlier)
+            for earlier in latest_by_keys.values()
+        ):
             found.append(each)
-        last_by_keys[(each.incarnation, each.keys)] = each
+        latest_by_keys[(each.incarnation, each.keys)] = each
     return found
 
 
-def _is_not_above(later: Taken, before: Taken) -> bool:
+def _has_stale_fence(later: Acquisition, earlier: Acquisition) -> bool:
     return (
-        later.fence <= before.fence
-        and later.incarnation != before.incarnation
-        and later.service == before.service
-        and bool(later.keys.overlap(before.keys))
+        later.fence <= earlier.fence
+        and later.incarnation != earlier.incarnation
+        and later.service == earlier.service
+        and bool(later.keys.overlap(earlier.keys))
     )
--- a/standins/incarnation.py
+++ b/standins/incarnation.py
@@ -1,4 +1,4 @@
-"""Lives of the stand-in for a backend server, and what it says of itself."""
+"""Incarnations of the stand-in for a backend server, and its heartbeats."""
 
 import random
 import time
@@ -13,9 +13,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Incarnation:
-    """One life of a server: its id, and the Unix millisecond of its start.
+    """One incarnation of a server: its id and Unix start time in ms.
 
-    Lives under one id are told apart by ``started_at_ms`` alone.
+    Incarnations under one id differ in ``started_at_ms`` alone.
     """
 
     instance: str
@@ -23,29 +23,29 @@
 
     @classmethod
     def from_seed(cls, seed: int) -> 'Incarnation':
-        """Begin a life now, under an id of its own."""
-        chooser = random.Random(seed)
-        return cls.under_id(f'i-{chooser.getrandbits(8 * ID_BYTES):08x}')
+        """Start an incarnation now, under an id drawn from a seed."""
+        rng = random.Random(seed)
+        return cls.with_id(f'i-{rng.getrandbits(8 * ID_BYTES):08x}')
 
     @classmethod
-    def under_id(cls, instance: str) -> 'Incarnation':
-        """Begin a life now, under a given id."""
+    def with_id(cls, instance: str) -> 'Incarnation':
+        """Start an incarnation now, under a given id."""
         return cls(instance, time.time_ns() // NS_PER_MS)
 
     def next_incarnation(self) -> 'Incarnation':
-        """Begin the next life under this id; it is the later one.
+        """Start the next incarnation under this id, with a later start time.
 
-        In a test two lives may begin in one millisecond.
+        In a test two incarnations may start in the same millisecond.
         """
-        begun = Incarnation.under_id(self.instance)
+        started = Incarnation.with_id(self.instance)
         return Incarnation(
-            self.instance, max(begun.started_at_ms, self.started_at_ms + 1)
+            self.instance, max(started.started_at_ms, self.started_at_ms + 1)
         )
 
 
 @dataclass(slots=True, frozen=True)
 class Heartbeat:
-    """What a server says of itself in one heartbeat."""
+    """What a server reports in one heartbeat."""
 
     incarnation: Incarnation
     service: str
@@ -57,7 +57,7 @@
     cold_s: float = 0.0
 
     def fields(self) -> dict[str, Any]:
-        """Return the fields as they go over the wire."""
+        """Return the fields as they are encoded on the wire."""
         return {
             'service': self.service,
             'address': self.address,
--- a/standins/keyed_server.py
+++ b/standins/keyed_server.py
@@ -1,8 +1,8 @@
 """Stand-in for a backend server of the shared platform.
 
-It takes grants of keys, serves requests within its slots, and sends its
-heartbeats to the process beside it. What it runs goes to a shared record, so
-that a test or the demo can judge what callers were told.
+It accepts grants of keys, serves requests within its slots, and sends its
+heartbeats to the process beside it. Its runs go to a shared record, by which a
+test or the demo can check the answers that callers received.
 """
 
 import asyncio
@@ -41,8 +41,8 @@
 from plantaingrade.platform.units import parse_time
 from plantaingrade.requests.entity import Answer
 from plantaingrade.sidecar.fronts import refuse_malformed, send_answer
-from standins.cold import Coldness
-from standins.fences import Taken, find_stale_acquisitions
+from standins.cold import ColdPeriod
+from standins.fences import Acquisition, find_stale_acquisitions
 from standins.incarnation import Heartbeat, Incarnation
 from standins.reports import Reporter
 
@@ -53,12 +53,12 @@
 STATUS_MISDIRECTED = 421
 STATUS_UNAVAILABLE = 503
 IDLE_S = 10.0
-# A server that leaves serves on for this long.
+# Time for which a draining server continues to serve.
 DRAIN_S = 3.0
 
 
-class OrderFault(StrEnum):
-    """What becomes of an order."""
+class GrantFault(StrEnum):
+    """How a server mishandles calls that grant or release keys."""
 
     NONE = 'none'
     SILENT = 'silent'
@@ -67,13 +67,12 @@
 
 @dataclass(slots=True)
 class ServerFaults:
-    """What goes wrong at one server.
+    """Faults of one server; the integers count requests still affected.
 
-    ``late_s`` is when a late order is carried out; the hold of a late grant
-    still counts from its arrival.
+    ``late_s`` delays a late grant; its hold time still counts from arrival.
     """
 
-    order: OrderFault = OrderFault.NONE
+    grant: GrantFault = GrantFault.NONE
     late_s: float = 2.0
     is_silent: bool = False
     lose_answers: int = 0
@@ -82,8 +81,8 @@
     refuse: int = 0
 
 
-# A request whose path holds this crashes each server that begins to run it.
-DEADLY = b'deadly'
+# A request whose path contains this crashes any server that runs it.
+CRASHING_TARGET = b'deadly'
 
 
 @dataclass(slots=True, frozen=True)
@@ -102,55 +101,55 @@
 
 @dataclass(slots=True)
 class RunRecord:
-    """Runs of all servers, in order of their ends, and overlapping holds.
+    """Runs of all servers, ordered by their ends, and overlapping holds.
 
-    With a file, each begin and end is appended to it at once, so that it
-    outlives a server that is killed.
+    With a file, each event is appended at once, so that the record outlives
+    a server that is killed.
     """
 
     runs: list[Run] = field(default_factory=list)
-    taken: list[Taken] = field(default_factory=list)
+    acquisitions: list[Acquisition] = field(default_factory=list)
     two_owners: list[str] = field(default_factory=list)
     servers: list['KeyedServer'] = field(default_factory=list)
     fd: int | None = None
 
     @classmethod
     def at_path(cls, path: str) -> 'RunRecord':
-        """Append to a file."""
+        """Create a record that is appended to a file."""
         flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND
         return cls(fd=os.open(path, flags, 0o644))
 
     def on_begin(self, run: Run) -> None:
-        """Note a run that begins."""
+        """Record the start of a run."""
         self._append('begin', run)
 
     def on_end(self, run: Run) -> None:
-        """Note a run that has ended or was broken off."""
+        """Record a run that has ended or was interrupted."""
         self.runs.append(run)
         self._append('end', run)
 
-    def on_taken(self, taken: Taken) -> None:
-        """Note keys that a life took."""
-        self.taken.append(taken)
-        self._append('taken', taken)
+    def on_acquired(self, acquisition: Acquisition) -> None:
+        """Record keys that an incarnation acquired."""
+        self.acquisitions.append(acquisition)
+        self._append('taken', acquisition)
 
-    def find_stale_fences(self) -> list[Taken]:
-        """Return what was taken under a fence that another life had."""
-        return find_stale_acquisitions(self.taken)
+    def find_stale_fences(self) -> list[Acquisition]:
+        """Return acquisitions under a fence that another incarnation had."""
+        return find_stale_acquisitions(self.acquisitions)
 
-    def _append(self, event: str, noted: Run | Taken) -> None:
+    def _append(self, event: str, entry: Run | Acquisition) -> None:
         if self.fd is not None:
-            line = json.dumps({'event': event, **asdict(noted)})
+            line = json.dumps({'event': event, **asdict(entry)})
             os.write(self.fd, f'{line}\n'.encode())
 
     def count_runs(self, request_id: str) -> int:
-        """Return how often a request was run."""
+        """Return how many times a request was run."""
         return sum(run.request_id == request_id for run in self.runs)
 
 
 @dataclass(slots=True)
 class Hold:
-    """Keys that a server holds until a time."""
+    """Keys that a server holds until a point in time."""
 
     keys: KeyRange
     fence: int
@@ -159,7 +158,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerPlan:
-    """How a server behaves."""
+    """Configuration of one server."""
 
     service: str
     zone: str
@@ -172,7 +171,7 @@
 
 
 class KeyedServer:
-    """One life of a backend server."""
+    """One incarnation of a backend server."""
 
     def __init__(
         self,
@@ -182,7 +181,7 @@
         seed: int,
         incarnation: Incarnation | None = None,
     ) -> None:
-        """Start with no keys; without a life given, under an id of its own."""
+        """Create without keys; the default incarnation has a new id."""
         self.plan = plan
         self.record = record
         self.faults = ServerFaults()
@@ -190,12 +189,12 @@
         self._random = random.Random(seed)
         self.incarnation = incarnation or Incarnation.from_seed(seed)
         self.state = 'ready'
-        self.cold = Coldness(clock)
+        self.cold = ColdPeriod(clock)
         self.is_up = False
         self.running = 0
         self.holds: list[Hold] = []
-        self._fence_by_key: dict[KeyRange, int] = {}
-        self._busy: list[int] = []
+        self._fence_by_range: dict[KeyRange, int] = {}
+        self._busy_keys: list[int] = []
         self._pool = Pool(clock)
         first = Heartbeat(
             self.incarnation,
@@ -214,22 +213,22 @@
 
     @property
     def instance(self) -> str:
-        """Return the id of this life, which others may have had."""
+        """Return the server id, which earlier incarnations may share."""
         return self.incarnation.instance
 
     @property
     def started_at_ms(self) -> int:
-        """Return the Unix millisecond of this life's start."""
+        """Return the Unix start time of this incarnation in ms."""
         return self.incarnation.started_at_ms
 
     async def async_start(self) -> None:
-        """Listen, and begin to send heartbeats."""
+        """Listen and start to send heartbeats."""
         await self._server.async_listen(*split_address(self.plan.address))
         self.is_up = True
         self._spawn(self._async_report())
 
     async def async_crash(self) -> None:
-        """End at once."""
+        """Stop at once, without draining."""
         self.is_up = False
         self.holds.clear()
         for task in list(self._tasks):
@@ -238,22 +237,24 @@
         self._pool.close()
 
     async def async_drain(self) -> bool:
-        """Say that this server leaves; tell whether that was acknowledged."""
+        """Report draining; return whether that was acknowledged."""
         self.state = 'draining'
         return await self.async_heartbeat()
 
     async def async_heartbeat(self) -> bool:
-        """Send one heartbeat; tell whether it was acknowledged."""
-        status = await self.reporter.async_say(self.state, self.cold.left_s)
+        """Send one heartbeat; return whether it was acknowledged."""
+        status = await self.reporter.async_send(
+            self.state, self.cold.remaining_s
+        )
         return status == STATUS_OK
 
     def holds_key(self, key: int) -> bool:
-        """Tell whether this server may work on a key now."""
+        """Return whether this server may work on a key now."""
         now = self._clock.now()
         return any(key in hold.keys and hold.until > now for hold in self.holds)
 
     def holds_some(self, keys: KeyRange, now: float) -> bool:
-        """Tell whether this server holds any of these keys."""
+        """Return whether this server holds any of these keys."""
         return any(
             hold.keys.overlap(keys) and hold.until > now for hold in self.holds
         )
@@ -270,54 +271,58 @@
             await asyncio.Event().wait()
         path = raw.target.decode()
         if path == PATH_GRANT:
-            await self._order(self._grant, body, arrived, channel)
+            await self._handle_grant(self._grant, body, arrived, channel)
         elif path == PATH_RELEASE:
             await self._release(json.loads(body), channel)
         elif path == '/healthz':
-            cold_ms = str(int(self.cold.left_s * MS_PER_S)).encode()
+            cold_ms = str(int(self.cold.remaining_s * MS_PER_S)).encode()
             self._send(channel, STATUS_OK, ((HEADER_COLD, cold_ms),))
         else:
             await self._run(raw, channel)
 
-    async def _order(self, act, body: bytes, arrived: float, channel) -> None:
+    async def _handle_grant(
+        self, apply, body: bytes, arrived: float, channel
+    ) -> None:
         fields = json.loads(body)
-        match self.faults.order:
-            case OrderFault.NONE:
-                self._send(channel, act(fields, arrived), ())
+        match self.faults.grant:
+            case GrantFault.NONE:
+                self._send(channel, apply(fields, arrived), ())
                 return
-            case OrderFault.LATE:
-                self._spawn(self._later(act, fields, arrived))
+            case GrantFault.LATE:
+                self._spawn(self._apply_late(apply, fields, arrived))
         await asyncio.Event().wait()
 
-    async def _later(self, act, fields: dict, arrived: float) -> None:
+    async def _apply_late(self, apply, fields: dict, arrived: float) -> None:
         await asyncio.sleep(self.faults.late_s)
-        act(fields, arrived)
+        apply(fields, arrived)
 
     def _grant(self, fields: dict, arrived: float) -> int:
         keys = KeyRange(fields['startKey'], fields['to'])
         fence = fields['fence']
         higher = [
-            seen
-            for known, seen in self._fence_by_key.items()
-            if known.overlap(keys) and seen > fence
+            known_fence
+            for known, known_fence in self._fence_by_range.items()
+            if known.overlap(keys) and known_fence > fence
         ]
         if higher:
             return STATUS_CONFLICT
-        self._fence_by_key[keys] = fence
-        self._note_taken(keys, fence, self._clock.now())
-        self._take_out(keys)
+        self._fence_by_range[keys] = fence
+        self._record_acquisition(keys, fence, self._clock.now())
+        self._remove_held(keys)
         until = arrived + parse_time(fields['hold_time'])
         self.holds.append(Hold(keys, fence, until))
-        self._note_two_owners(keys)
+        self._record_two_owners(keys)
         return STATUS_OK
 
-    def _note_taken(self, keys: KeyRange, fence: int, now: float) -> None:
+    def _record_acquisition(
+        self, keys: KeyRange, fence: int, now: float
+    ) -> None:
         is_renewal = any(
             hold.keys == keys and hold.fence == fence and hold.until > now
             for hold in self.holds
         )
         if not is_renewal:
-            taken = Taken(
+            acquisition = Acquisition(
                 self.plan.service,
                 self.instance,
                 self.started_at_ms,
@@ -326,9 +331,9 @@
                 fence,
                 now,
             )
-            self.record.on_taken(taken)
+            self.record.on_acquired(acquisition)
 
-    def _note_two_owners(self, keys: KeyRange) -> None:
+    def _record_two_owners(self, keys: KeyRange) -> None:
         now = self._clock.now()
         for other in self.record.servers:
             if other is self or not other.is_up:
@@ -339,21 +344,21 @@
                 )
 
     async def _release(self, fields: dict, channel: Channel) -> None:
-        if self.faults.order is not OrderFault.NONE:
+        if self.faults.grant is not GrantFault.NONE:
             await asyncio.Event().wait()
         keys = KeyRange(fields['startKey'], fields['to'])
-        self._take_out(keys)
-        while any(key in keys for key in self._busy):
+        self._remove_held(keys)
+        while any(key in keys for key in self._busy_keys):
             await asyncio.sleep(0.002)
         token = f'{self._random.getrandbits(32):08x}'
         headers = ((HEADER_HANDOVER, token.encode()),)
         self._send(channel, STATUS_OK, headers)
 
-    def _take_out(self, keys: KeyRange) -> None:
+    def _remove_held(self, keys: KeyRange) -> None:
         kept = []
         for hold in self.holds:
-            for rest in hold.keys.without(keys):
-                kept.append(Hold(rest, hold.fence, hold.until))
+            for remaining in hold.keys.without(keys):
+                kept.append(Hold(remaining, hold.fence, hold.until))
         self.holds = kept
 
     async def _run(self, raw: Request, channel: Channel) -> None:
@@ -368,16 +373,16 @@
             number is None or not self.holds_key(number)
         )
         if is_misdirected or lacks_key:
-            marks = (*echo, (HEADER_NOT_RUN, b'1'))
-            self._send(channel, STATUS_MISDIRECTED, marks)
+            response_headers = (*echo, (HEADER_NOT_RUN, b'1'))
+            self._send(channel, STATUS_MISDIRECTED, response_headers)
             return
         if self.faults.refuse:
             self.faults.refuse -= 1
-            marks = (*echo, (HEADER_NOT_RUN, b'1'))
-            self._send(channel, STATUS_UNAVAILABLE, marks)
+            response_headers = (*echo, (HEADER_NOT_RUN, b'1'))
+            self._send(channel, STATUS_UNAVAILABLE, response_headers)
             return
         run = self._begin_run(headers, number)
-        if DEADLY in raw.target:
+        if CRASHING_TARGET in raw.target:
             self._crashing = asyncio.create_task(self.async_crash())
         held_until = self._held_until(run.key)
         try:
@@ -386,7 +391,7 @@
             held_until = max(held_until, self._held_until(run.key))
             self._end_run(run, held_until)
         if self._clock.now() > held_until:
-            # Work that outlasts its lease ends there, whatever was done.
+            # Work ends with the lease on its key; it is not reported as done.
             self._send(channel, STATUS_FAILED, echo)
             return
         await self._answer_run(channel, echo, request_id)
@@ -404,7 +409,7 @@
             now,
         )
         self.running += 1
-        self._busy.append(key or 0)
+        self._busy_keys.append(key or 0)
         self.record.on_begin(run)
         return run
 
@@ -416,7 +421,7 @@
 
     def _end_run(self, run: Run, held_until: float) -> None:
         self.running -= 1
-        self._busy.remove(run.key or 0)
+        self._busy_keys.remove(run.key or 0)
         ended = min(self._clock.now(), held_until)
         self.record.on_end(replace(run, ended=ended))
 
@@ -428,29 +433,37 @@
             self.faults.reset_answers -= 1
             channel.abort()
             return
-        name = request_id.decode()
-        marks = (*echo, (HEADER_STAMP, f'stamp.{name}'.encode()))
-        self._send(channel, STATUS_OK, marks, f'done {name}'.encode())
+        request_name = request_id.decode()
+        response_headers = (
+            *echo,
+            (HEADER_STAMP, f'stamp.{request_name}'.encode()),
+        )
+        self._send(
+            channel,
+            STATUS_OK,
+            response_headers,
+            f'done {request_name}'.encode(),
+        )
         if self.faults.repeat_answers:
             self.faults.repeat_answers -= 1
-            again = (
-                f'HTTP/1.1 200 OK\r\nattempt-id: {name}\r\n'
+            repeated = (
+                f'HTTP/1.1 200 OK\r\nattempt-id: {request_name}\r\n'
                 'content-length: 3\r\n\r\nold'
             )
-            channel.transport.write(again.encode())
+            channel.transport.write(repeated.encode())
 
     def _send(self, channel, status: int, headers, body: bytes = b'') -> None:
         load = f'{self.running},0,{self.plan.slots}'.encode()
-        marks = (
+        response_headers = (
             (HEADER_INSTANCE, self.instance.encode()),
             (HEADER_LOAD, load),
             *headers,
         )
         with suppress(ChannelClosedError):
-            send_answer(channel, Answer(status, marks, body))
+            send_answer(channel, Answer(status, response_headers, body))
 
-    def _spawn(self, work) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -458,10 +471,10 @@
 async def async_serve(
     plan: ServerPlan, record: RunRecord, instance: str
 ) -> None:
-    """Serve until told to stop; drain first, as a planned shutdown does."""
+    """Serve until SIGTERM, then drain as in a planned shutdown."""
     seed = os.getpid()
     incarnation = (
-        Incarnation.under_id(instance)
+        Incarnation.with_id(instance)
         if instance
         else Incarnation.from_seed(seed)
     )
@@ -485,7 +498,7 @@
 @click.option('--slots', type=int, default=4)
 @click.option('--work-ms', type=float, default=10.0)
 @click.option('--log', required=True)
-@click.option('--instance', default='', help='Id; without it, a new one.')
+@click.option('--instance', default='', help='Server id; a new one by default.')
 def main(
     service: str,
     zone: str,
@@ -497,7 +510,7 @@
     log: str,
     instance: str,
 ) -> None:
-    """Run one life of a backend server."""
+    """Run one incarnation of a backend server."""
     plan = ServerPlan(
         service,
         zone,
--- a/standins/network.py
+++ b/standins/network.py
@@ -1,7 +1,7 @@
-"""The network between processes: one-way delays, cuts, silent connections.
+"""Relays between processes with one-way delays, cuts and silent connections.
 
 Processes of one availability zone share the third number of their loopback
-address, so the relay knows the two zones of each connection.
+address; by it the relay tells the zones of a connection.
 """
 
 import asyncio
@@ -24,22 +24,22 @@
 OK = 200
 CHUNK_BYTES = 65536
 CALLER_PREFIX = '127.3.'
-# Both ends of a relayed connection.
-Pair = tuple[Any, Any]
+# Transports at both ends of a relayed connection.
+TransportPair = tuple[Any, Any]
 
 
 @dataclass(slots=True)
 class Links:
-    """Delays and cuts between hosts."""
+    """Delays and faults of the links between hosts."""
 
     zone_delay_s: float
     caller_delay_s: float
     cut_hosts: set[str] = field(default_factory=set)
-    # Hosts from which nothing passes, though everything passes to them.
+    # Hosts from which nothing passes; traffic to them does.
     mute_hosts: set[str] = field(default_factory=set)
     extra_delay_s: dict[str, float] = field(default_factory=dict)
     silenced_at: dict[str, float] = field(default_factory=dict)
-    open_by_host: dict[str, set[Pair]] = field(
+    open_by_host: dict[str, set[TransportPair]] = field(
         default_factory=lambda: defaultdict(set)
     )
 
@@ -48,47 +48,47 @@
         extra_s = self.extra_delay_s.get(source, 0.0)
         if source.startswith(CALLER_PREFIX):
             return self.caller_delay_s + extra_s
-        same = source.split('.')[2] == target.split('.')[2]
-        return extra_s if same else self.zone_delay_s + extra_s
+        is_same_zone = source.split('.')[2] == target.split('.')[2]
+        return extra_s if is_same_zone else self.zone_delay_s + extra_s
 
     def reset(self, host: str) -> None:
-        """Break every open connection of a host off."""
+        """Abort every open connection of a host."""
         for pair in list(self.open_by_host[host]):
             for transport in pair:
                 transport.abort()
 
-    def forget(self, pair: Pair, hosts: tuple[str, str]) -> None:
-        """Note that a connection has ended."""
+    def remove(self, pair: TransportPair, hosts: tuple[str, str]) -> None:
+        """Remove a connection that has ended."""
         for host in hosts:
             self.open_by_host[host].discard(pair)
 
     def is_silent(self, opened_at: float, *hosts: str) -> bool:
-        """Tell whether a connection was open when its host was silenced."""
+        """Return whether a connection was open when a host was silenced."""
         return any(
             self.silenced_at.get(host, opened_at) > opened_at for host in hosts
         )
 
     def is_cut(self, source: str, target: str) -> bool:
-        """Tell whether nothing passes from one host to another."""
+        """Return whether nothing passes from one host to another."""
         is_cut = not self.cut_hosts.isdisjoint((source, target))
         return is_cut or source in self.mute_hosts
 
 
 class UdpRelay(asyncio.DatagramProtocol):
-    """Pass datagrams on to one host after the delay."""
+    """Forwards datagrams to one host after the delay."""
 
     def __init__(self, links: Links, target: tuple[str, int]) -> None:
-        """Relay to one address."""
+        """Create a relay to one address."""
         self._links = links
         self._target = target
         self._transport: Any = None
 
     def connection_made(self, transport: Any) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: Any) -> None:  # noqa: WPS110
-        """Pass one datagram on."""
+        """Forward one datagram, unless the link is cut."""
         source, target = addr[0], self._target[0]
         if self._links.is_cut(source, target):
             return
@@ -98,10 +98,10 @@
 
 
 class TcpRelay:
-    """Pass connections on to one host; each chunk after the delay."""
+    """Forwards connections to one host, each chunk after the delay."""
 
     def __init__(self, links: Links, target: tuple[str, int]) -> None:
-        """Relay to one address."""
+        """Create a relay to one address."""
         self._links = links
         self._target = target
 
@@ -110,7 +110,7 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Join an accepted connection with one to the target."""
+        """Connect to the target and forward in both directions."""
         source = writer.get_extra_info('peername')[0]
         hosts = (source, self._target[0])
         if self._links.is_cut(*hosts):
@@ -131,13 +131,15 @@
         self._links.open_by_host[self._target[0]].add(pair)
         try:
             await asyncio.gather(
-                self._pump(reader, far_writer, delay, hosts),
-                self._pump(far_reader, writer, delay, tuple(reversed(hosts))),
+                self._forward(reader, far_writer, delay, hosts),
+                self._forward(
+                    far_reader, writer, delay, tuple(reversed(hosts))
+                ),
             )
         finally:
-            self._links.forget(pair, hosts)
+            self._links.remove(pair, hosts)
 
-    async def _pump(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -146,25 +148,27 @@
     ) -> None:
         loop = asyncio.get_running_loop()
         opened_at = loop.time()
-        silent = False
+        is_silent = False
         try:
             while chunk := await reader.read(CHUNK_BYTES):
-                silent = silent or self._links.is_silent(opened_at, *hosts)
-                if silent or self._links.is_cut(*hosts):
-                    silent = True
+                is_silent = is_silent or self._links.is_silent(
+                    opened_at, *hosts
+                )
+                if is_silent or self._links.is_cut(*hosts):
+                    is_silent = True
                     continue
                 loop.call_later(delay, writer.write, chunk)
                 await writer.drain()
         except ConnectionError:
             loop.call_later(delay, writer.transport.abort)
             return
-        if not silent:
+        if not is_silent:
             loop.call_later(delay, writer.close)
 
 
 @dataclass(slots=True)
 class Control:
-    """Take orders for cuts, silence and refused connections."""
+    """Applies link_control for cuts, silence and refused connections."""
 
     links: Links
     server_by_target: dict[str, list[asyncio.Server]] = field(
@@ -172,20 +176,20 @@
     )
 
     async def async_handle(self, request: Request, channel: Channel) -> None:
-        """Serve one order, such as ``{"cut_hosts": ["127.1.0.1"]}``."""
-        wanted = json.loads(await read_body(channel))
-        self.links.cut_hosts = set(wanted.get('cut_hosts', ()))
-        self.links.mute_hosts = set(wanted.get('mute_hosts', ()))
-        self.links.extra_delay_s = dict(wanted.get('delay_s', {}))
-        for host in wanted.get('reset', ()):
+        """Apply one command, such as ``{"cut_hosts": ["127.1.0.1"]}``."""
+        command = json.loads(await read_body(channel))
+        self.links.cut_hosts = set(command.get('cut_hosts', ()))
+        self.links.mute_hosts = set(command.get('mute_hosts', ()))
+        self.links.extra_delay_s = dict(command.get('delay_s', {}))
+        for host in command.get('reset', ()):
             self.links.reset(host)
-        # Connections open now go silent for good; new ones work.
+        # Connections that are open now stay silent; new ones work.
         now = asyncio.get_running_loop().time()
-        for host in wanted.get('silence', ()):
+        for host in command.get('silence', ()):
             self.links.silenced_at[host] = now
-        # Nobody listens where a process was killed, so connecting to it is
-        # refused; a relay that accepted first would hide that.
-        for target in wanted.get('refused', ()):
+        # Connecting to a killed process must be refused; a relay that goes
+        # on to listen would accept first and hide that.
+        for target in command.get('refused', ()):
             for server in self.server_by_target.pop(target, ()):
                 server.close()
         send_plain(channel, OK, b'{}')
@@ -196,9 +200,9 @@
     control: str,
     routes: list[tuple[str, str, str]],
 ) -> None:
-    """Relay until cancelled; a route is kind, listening, target address."""
+    """Relay until cancelled; routes hold kind, listen and target address."""
     loop = asyncio.get_running_loop()
-    orders = Control(links)
+    link_control = Control(links)
     for kind, listen, target in routes:
         host, port = split_address(listen)
         if kind == 'udp':
@@ -209,11 +213,13 @@
             )
         else:
             tcp = TcpRelay(links, split_address(target))
-            accepting = await asyncio.start_server(tcp.async_accept, host, port)
-            orders.server_by_target[target].append(accepting)
+            tcp_server = await asyncio.start_server(
+                tcp.async_accept, host, port
+            )
+            link_control.server_by_target[target].append(tcp_server)
     server = HttpServer(
         BootClock(),
-        orders.async_handle,
+        link_control.async_handle,
         refuse_malformed,
     )
     await server.async_listen(*split_address(control))
@@ -231,7 +237,7 @@
     control: str,
     routes: tuple[str, ...],
 ) -> None:
-    """Relay each route, written as kind=listen=target."""
+    """Relay each route, given as kind=listen=target."""
     links = Links(zone_ms / MS_PER_S, caller_ms / MS_PER_S)
     parsed = [tuple(route.split('=')) for route in routes]
     asyncio.run(async_serve(links, control, parsed))
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,4 +1,4 @@
-"""Table service and object store, each over its published protocol."""
+"""Stand-ins for the table service and the object store."""
 
 import asyncio
 import json
@@ -25,10 +25,10 @@
 
 
 class TableStandIn:
-    """Rows in memory, behind GetItem, PutItem and Query."""
+    """Serves rows from memory by GetItem, PutItem and Query."""
 
     def __init__(self) -> None:
-        """Start empty and without faults."""
+        """Create an empty store without faults."""
         self.faults = Faults()
         self.rows: dict[tuple[str, int], dict[str, Any]] = {}
         self.reads = 0
@@ -36,7 +36,7 @@
 
     async def async_handle(self, request: Request, channel: Channel) -> None:
         """Serve one request."""
-        if await self.faults.async_order(request, channel):
+        if await self.faults.async_handle_command(request, channel):
             return
         if request.target == b'/-/counts':
             counts = {'reads': self.reads, 'writes': self.writes}
@@ -58,11 +58,11 @@
         send_plain(channel, status, answer)
 
     def execute(self, name: str, body: dict[str, Any]) -> tuple[int, bytes]:
-        """Carry one operation out."""
+        """Execute an operation; return the HTTP status and body."""
         match name:
             case 'GetItem':
                 self.reads += 1
-                row = self.rows.get(_place(body['Key']))
+                row = self.rows.get(_primary_key(body['Key']))
                 return OK, json.dumps({'Item': row} if row else {}).encode()
             case 'PutItem':
                 self.writes += 1
@@ -73,45 +73,45 @@
         return BAD_REQUEST, b'{"__type": "UnknownOperationException"}'
 
     def _put(self, body: dict[str, Any]) -> tuple[int, bytes]:
-        place = _place(body['Item'])
-        known = self.rows.get(place)
+        key = _primary_key(body['Item'])
+        current = self.rows.get(key)
         condition = body['ConditionExpression']
         if condition == 'attribute_not_exists(pk)':
-            holds = known is None
+            is_met = current is None
         elif condition == 'version = :v':
             expected = body['ExpressionAttributeValues'][':v']
-            holds = known is not None and known['version'] == expected
+            is_met = current is not None and current['version'] == expected
         else:
             return BAD_REQUEST, b'{"__type": "ValidationException"}'
-        if not holds:
+        if not is_met:
             return BAD_REQUEST, CONFLICT
-        self.rows[place] = body['Item']
+        self.rows[key] = body['Item']
         return OK, b'{}'
 
     def _query(self, body: dict[str, Any]) -> tuple[int, bytes]:
-        wanted = body['ExpressionAttributeValues']
-        partition = wanted[':p']['S']
-        after = int(wanted[':s']['N'])
+        query_values = body['ExpressionAttributeValues']
+        partition = query_values[':p']['S']
+        after = int(query_values[':s']['N'])
         found = sorted(
-            (place[1], row)
-            for place, row in self.rows.items()
-            if place[0] == partition and place[1] > after
+            (key[1], row)
+            for key, row in self.rows.items()
+            if key[0] == partition and key[1] > after
         )
         rows = [row for _, row in found[:QUERY_LIMIT]]
         return OK, json.dumps({'Items': rows}).encode()
 
 
 class ObjectStandIn:
-    """Objects in memory, behind PUT and GET."""
+    """Serves objects from memory by PUT and GET."""
 
     def __init__(self) -> None:
-        """Start empty and without faults."""
+        """Create an empty store without faults."""
         self.faults = Faults()
         self.body_by_name: dict[bytes, bytes] = {}
 
     async def async_handle(self, request: Request, channel: Channel) -> None:
         """Serve one request."""
-        if await self.faults.async_order(request, channel):
+        if await self.faults.async_handle_command(request, channel):
             return
         body = await read_body(channel)
         if self.faults.down:
@@ -127,12 +127,12 @@
             send_plain(channel, NOT_FOUND, b'')
 
 
-def _place(fields: dict[str, Any]) -> tuple[str, int]:
+def _primary_key(fields: dict[str, Any]) -> tuple[str, int]:
     return fields['pk']['S'], int(fields['sk']['N'])
 
 
 async def async_serve(table: str, store: str) -> None:
-    """Serve both until cancelled."""
+    """Serve both stand-ins until cancelled."""
     clock = BootClock()
     servers = []
     for address, standin in (
--- a/standins/shared_store.py
+++ b/standins/shared_store.py
@@ -1,7 +1,7 @@
 """Stand-in for the shared platform's metadata store.
 
-It speaks the platform's protocol over HTTP, from memory, and fails on request:
-for all callers or for some, without doing the call, after doing it, or later.
+It serves the platform's HTTP protocol from memory. On command it fails for all
+callers or for some, and executes the failed calls at once, late or not at all.
 """
 
 import asyncio
@@ -33,7 +33,7 @@
 from plantaingrade.requests.entity import Answer
 from plantaingrade.sidecar.fronts import refuse_malformed, send_answer
 
-Name = tuple[str, str, str]
+RowName = tuple[str, str, str]
 FIRST_EPOCH = 0
 STATUS_OK = 200
 STATUS_BAD = 400
@@ -46,7 +46,7 @@
 
 
 class Outage(StrEnum):
-    """How the store fails a caller."""
+    """How the store fails the calls of a caller."""
 
     NONE = 'none'
     SILENT = 'silent'
@@ -57,11 +57,11 @@
 
 @dataclass(slots=True)
 class StoreFaults:
-    """What goes wrong, and for whom.
+    """Faults of the store.
 
-    ``outage_by_host`` holds outages of single callers, by IP address; the
-    other shares are of transactions: done and not answered, or done only
-    ``late_s`` later and not answered.
+    ``outage_by_host`` overrides ``outage`` for callers, by IP address.
+    ``lost_share`` of the transactions are executed without an answer, and
+    ``late_share`` only ``late_s`` later, also without an answer.
     """
 
     outage: Outage = Outage.NONE
@@ -71,14 +71,14 @@
     late_s: float = 1.0
     delay_s: float = 0.0
 
-    def outage_of(self, host: str) -> Outage:
-        """Return how a caller's call fails."""
+    def find_outage(self, host: str) -> Outage:
+        """Return the outage that applies to a caller."""
         return self.outage_by_host.get(host, self.outage)
 
 
 @dataclass(slots=True)
 class StoredRow:
-    """One row; a deleted one is kept for the feeds."""
+    """One row; a deleted one is kept for the change feeds."""
 
     body: str
     version: int
@@ -87,31 +87,32 @@
 
 @dataclass(slots=True)
 class RowsSnapshot:
-    """All rows as they were at one moment."""
+    """All rows as of one version."""
 
-    row_by_name: dict[Name, StoredRow] = field(default_factory=dict)
+    row_by_name: dict[RowName, StoredRow] = field(default_factory=dict)
     version: int = 0
 
 
 class Rows:
-    """Rows in memory, changed by transactions."""
+    """Versioned rows in memory."""
 
     def __init__(self) -> None:
-        """Start empty."""
-        self.row_by_name: dict[Name, StoredRow] = {}
+        """Create without rows."""
+        self.row_by_name: dict[RowName, StoredRow] = {}
         self.version = 0
         self.epoch = FIRST_EPOCH
-        self.forgotten = 0
+        self.dropped_version = 0
         self.changed = asyncio.Event()
 
     def snapshot(self) -> RowsSnapshot:
-        """Return all rows as they are now."""
+        """Return a snapshot of all rows."""
         return RowsSnapshot(dict(self.row_by_name), self.version)
 
     def restore(self, snapshot: RowsSnapshot) -> None:
-        """Lose all that was written since a copy was made.
+        """Restore a snapshot and lose all later writes.
 
-        Versions are given out again, and whoever waits is told to read anew.
+        Versions are assigned a second time, so the epoch is raised and feeds
+        must be read from the start.
         """
         self.row_by_name = dict(snapshot.row_by_name)
         self.version = snapshot.version
@@ -119,9 +120,11 @@
         self.drop_history()
 
     def commit(self, fields: dict[str, Any]) -> tuple[int, dict[str, Any]]:
-        """Apply a transaction or nothing of it."""
+        """Apply a whole transaction, or nothing if a version differs."""
         expected = fields.get('expected', [])
-        version_by_name = {_name(each): each['rowVersion'] for each in expected}
+        version_by_name = {
+            _row_name(each): each['rowVersion'] for each in expected
+        }
         if any(
             self.version_of(name) != version
             for name, version in version_by_name.items()
@@ -135,14 +138,16 @@
         self.version += 1
         for each in fields.get('puts', []):
             row = StoredRow(each['value'], self.version)
-            self.row_by_name[_name(each)] = row
+            self.row_by_name[_row_name(each)] = row
         for each in fields.get('deletes', []):
-            self.row_by_name[_name(each)] = StoredRow('', self.version, True)
-        self._wake()
+            self.row_by_name[_row_name(each)] = StoredRow(
+                '', self.version, True
+            )
+        self._notify()
         return STATUS_OK, {}
 
     def put(self, table: str, key: str, body: bytes, part: str = '') -> None:
-        """Write a row without a condition, as other writers do."""
+        """Write a row without a condition."""
         entry = {
             'table': table,
             'part': part,
@@ -152,22 +157,22 @@
         self.commit({'puts': [entry]})
 
     def delete(self, table: str, key: str, part: str = '') -> None:
-        """Delete a row without a condition, as other writers do."""
+        """Delete a row without a condition."""
         self.commit({'deletes': [{'table': table, 'part': part, 'key': key}]})
 
-    def version_of(self, name: Name) -> int:
-        """Return a row's version, 0 if it is not there."""
+    def version_of(self, name: RowName) -> int:
+        """Return a row's version, 0 if there is no such row."""
         row = self.row_by_name.get(name)
         return 0 if row is None or row.is_deleted else row.version
 
-    def body_of(self, name: Name) -> bytes | None:
-        """Return what a row holds."""
+    def body_of(self, name: RowName) -> bytes | None:
+        """Return a row's body, None if there is no such row."""
         if not self.version_of(name):
             return None
         return base64.b64decode(self.row_by_name[name].body)
 
-    def encode(self, name: Name) -> dict[str, Any]:
-        """Return a row as it goes over the wire."""
+    def encode(self, name: RowName) -> dict[str, Any]:
+        """Return a row as it is encoded on the wire."""
         row = self.row_by_name[name]
         table, part, key = name
         fields: dict[str, Any] = {
@@ -183,7 +188,7 @@
         return fields
 
     def read(self, table: str, part: str, start: str) -> list[dict[str, Any]]:
-        """Return the rows of a part from a key on."""
+        """Return the rows of a part, starting with a key."""
         return [
             self.encode(name)
             for name in sorted(self.row_by_name)
@@ -203,20 +208,20 @@
         return [self.encode(name) for name in names]
 
     def drop_history(self) -> None:
-        """Drop what the feeds were to be told from."""
-        self.forgotten = self.version
-        self._wake()
+        """Drop the history, so that feeds must be read from the start."""
+        self.dropped_version = self.version
+        self._notify()
 
-    def _wake(self) -> None:
+    def _notify(self) -> None:
         self.changed.set()
         self.changed = asyncio.Event()
 
 
 class SharedStore:
-    """Serve rows over HTTP, with faults."""
+    """Serves rows over HTTP, with faults."""
 
     def __init__(self, clock: Clock, seed: int = 0) -> None:
-        """Start empty and sound."""
+        """Create without rows and without faults."""
         self.rows = Rows()
         self._snapshot = RowsSnapshot()
         self.faults = StoreFaults()
@@ -228,11 +233,11 @@
         self._server = HttpServer(clock, self._serve, refuse_malformed, IDLE_S)
 
     async def async_listen(self, address: str) -> None:
-        """Start to listen."""
+        """Start listening."""
         await self._server.async_listen(*split_address(address))
 
     async def async_close(self) -> None:
-        """Stop."""
+        """Cancel late transactions and stop listening."""
         for task in self._tasks:
             task.cancel()
         await self._server.async_close()
@@ -240,12 +245,12 @@
     async def _serve(self, raw: Request, channel: Channel) -> None:
         body = await read_body(channel)
         if raw.target == FAULT_TARGET:
-            self._take_order(json.loads(body), channel)
+            self._handle_command(json.loads(body), channel)
             return
         self.calls += 1
         self.bytes += len(body) + len(raw.target)
         host, _ = channel.transport.get_extra_info('peername')
-        if await self._fails(host, channel):
+        if await self._apply_outage(host, channel):
             return
         if self.faults.delay_s:
             await asyncio.sleep(self.faults.delay_s)
@@ -259,17 +264,17 @@
             )
             self._answer(channel, STATUS_OK, {'rows': rows, 'hasMore': False})
         elif parts.path == PATH_FEED:
-            await self._follow(query, channel)
+            await self._serve_feed(query, channel)
         else:
             self._answer(channel, STATUS_BAD, {})
 
-    def _take_order(self, fields: dict[str, Any], channel: Channel) -> None:
-        """Follow an order such as ``{"outage": "busy", "host": "127.0.0.1"}``.
+    def _handle_command(self, fields: dict[str, Any], channel: Channel) -> None:
+        """Apply a command: ``{"outage": "busy", "host": "127.0.0.1"}``.
 
-        Without a host it is for all callers; a configuration is put with
-        ``{"config": TEXT}``, any row with ``{"puts": [ENTRY]}``, as in a
-        transaction without conditions. ``{"copy": true}`` makes a copy of all
-        rows, and ``{"come_back": true}`` goes back to the last one.
+        Without a host it applies to all callers. ``{"config": TEXT}`` writes
+        a configuration and ``{"puts": [ENTRY]}`` any row, as a transaction
+        without conditions does. ``{"copy": true}`` takes a snapshot of all
+        rows and ``{"come_back": true}`` restores the last one.
         """
         if fields.get('copy'):
             self._snapshot = self.rows.snapshot()
@@ -290,15 +295,15 @@
                 delay_s=fields.get('delay_s', 0),
             )
         if fields.get('count'):
-            figures = {'calls': self.calls, 'bytes': self.bytes}
-            self._answer(channel, STATUS_OK, figures)
+            counters = {'calls': self.calls, 'bytes': self.bytes}
+            self._answer(channel, STATUS_OK, counters)
             return
         if fields.get('forget'):
             self.rows.drop_history()
         self._answer(channel, STATUS_OK, {})
 
-    async def _fails(self, host: str, channel: Channel) -> bool:
-        match self.faults.outage_of(host):
+    async def _apply_outage(self, host: str, channel: Channel) -> bool:
+        match self.faults.find_outage(host):
             case Outage.NONE:
                 return False
             case Outage.BUSY:
@@ -312,35 +317,37 @@
         return True
 
     async def _commit(self, fields: dict[str, Any], channel: Channel) -> None:
-        chance = self._random.random()
+        draw = self._random.random()
         faults = self.faults
-        if chance < faults.lost_share:
+        if draw < faults.lost_share:
             self.rows.commit(fields)
             await asyncio.Event().wait()
-        if chance < faults.lost_share + faults.late_share:
-            self._later(faults.late_s, lambda: self.rows.commit(fields))
+        if draw < faults.lost_share + faults.late_share:
+            self._schedule(faults.late_s, lambda: self.rows.commit(fields))
             await asyncio.Event().wait()
         status, answer = self.rows.commit(fields)
         self._answer(channel, status, answer)
 
-    def _later(self, delay_s: float, act: Callable[[], Any]) -> None:
+    def _schedule(self, delay_s: float, action: Callable[[], Any]) -> None:
         async def run() -> None:  # noqa: WPS430
             await asyncio.sleep(delay_s)
-            act()
+            action()
 
         task = asyncio.get_running_loop().create_task(run())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _follow(self, query: dict[str, str], channel: Channel) -> None:
+    async def _serve_feed(
+        self, query: dict[str, str], channel: Channel
+    ) -> None:
         after = int(query['after'])
-        ends = self._clock.now() + int(query['waitMs']) / 1000
+        deadline = self._clock.now() + int(query['waitMs']) / 1000
         while True:
-            if after < self.rows.forgotten or after > self.rows.version:
+            if after < self.rows.dropped_version or after > self.rows.version:
                 self._answer(channel, STATUS_GONE, {})
                 return
             rows = self.rows.changes(query['table'], after)
-            left_s = ends - self._clock.now()
+            left_s = deadline - self._clock.now()
             if rows or left_s <= 0:
                 self._answer(channel, STATUS_OK, {'rows': rows})
                 return
@@ -360,7 +367,7 @@
         send_answer(channel, Answer(status, (epoch,), body))
 
 
-def _name(fields: dict[str, Any]) -> Name:
+def _row_name(fields: dict[str, Any]) -> RowName:
     return fields['table'], fields.get('part', ''), fields['key']
 
 
@@ -375,7 +382,7 @@
 @click.option('--address', required=True)
 @click.option('--seed', type=int, default=0)
 def main(address: str, seed: int) -> None:
-    """Run the store's stand-in."""
+    """Run the stand-in for the metadata store."""
     asyncio.run(async_serve(address, seed))
 
 
--- a/tests/standins/test_lives.py
+++ b/tests/standins/test_incarnations.py
@@ -1,4 +1,4 @@
-"""Lives of the stand-in for a backend server, and rows of other writers."""
+"""Incarnations of the stand-in server, and rows of other writers."""
 
 import asyncio
 import json
@@ -17,44 +17,46 @@
 from standins.keyed_server import KeyedServer, RunRecord, ServerPlan
 from standins.incarnation import Incarnation
 from standins.shared_store import SharedStore
-from standins.strange import Flaw
+from standins.malformed import Flaw
 
 REPORTS = '127.71.0.1:18144'
 SERVER = '127.71.0.2:18145'
 STORE = '127.71.0.3:18142'
 IDLE_S = 5.0
-# No heartbeat but those that a test asks for.
+# Only the heartbeats that a test sends.
 NEVER_S = 1_000_000.0
 PLAN = ServerPlan('cases', 'a', SERVER, REPORTS, heartbeat_s=NEVER_S)
 GRANT = {'startKey': 0, 'to': 9, 'fence': 7, 'hold_time': '10000ms'}
 
 
 @dataclass(slots=True)
-class Listener:
-    """What was said to it, by id, in order."""
+class ReportReceiver:
+    """Receives heartbeats and keeps them in order, with their server ids."""
 
-    said: list[tuple[str, bytes]] = field(default_factory=list)
+    received: list[tuple[str, bytes]] = field(default_factory=list)
 
-    async def take(self, raw: Request, channel: Channel) -> None:
-        """Keep one heartbeat and acknowledge it."""
+    async def async_serve(self, raw: Request, channel: Channel) -> None:
+        """Store one heartbeat and acknowledge it."""
         instance = raw.target.decode().rsplit('/', 1)[1]
-        self.said.append((instance, await read_body(channel)))
+        self.received.append((instance, await read_body(channel)))
         send_answer(channel, Answer(200, (), b''))
 
     def heartbeats(self) -> list[dict]:
-        """Return the fields of what was said."""
-        return [json.loads(body) for _, body in self.said]
+        """Return the fields of the received heartbeats."""
+        return [json.loads(body) for _, body in self.received]
 
 
 @asynccontextmanager
-async def listening():
-    listener = Listener()
-    front = HttpServer(BootClock(), listener.take, refuse_malformed, IDLE_S)
-    await front.async_listen(*split_address(REPORTS))
+async def receiving_reports():
+    receiver = ReportReceiver()
+    http_server = HttpServer(
+        BootClock(), receiver.async_serve, refuse_malformed, IDLE_S
+    )
+    await http_server.async_listen(*split_address(REPORTS))
     try:
-        yield listener
+        yield receiver
     finally:
-        await front.async_close()
+        await http_server.async_close()
 
 
 def server(
@@ -69,23 +71,23 @@
         return await fetch(pool, Call(method, address, path, (), body))
 
 
-def test_a_later_life_of_one_id_is_born_later() -> None:
+def test_next_incarnation_has_a_later_start_time() -> None:
     first = Incarnation.from_seed(3)
     second = first.next_incarnation()
     assert second.instance == first.instance
     assert second.started_at_ms > first.started_at_ms
 
 
-def test_a_life_under_the_same_id_holds_and_knows_nothing() -> None:
-    """A server crashes and is back under its id.
+def test_next_incarnation_starts_without_state() -> None:
+    """A server crashes and restarts under its id.
 
-    It holds no keys, has seen no fence, and counts its heartbeats anew; only
-    ``born`` tells it from the life before.
+    It holds no keys, knows no fence, and its heartbeats start at sequence 1;
+    only ``born`` differs from the incarnation before.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         record = RunRecord()
-        async with listening() as listener:
+        async with receiving_reports() as receiver:
             first = server(record)
             await first.async_start()
             reply = await send(SERVER, 'POST', '/v1/grant', GRANT)
@@ -106,25 +108,29 @@
             await second.async_heartbeat()
             await second.async_crash()
 
-        names = {instance for instance, _ in listener.said}
+        names = {instance for instance, _ in receiver.received}
         assert names == {first.instance}
-        by_born: dict[int, list[int]] = {}
-        for beat in listener.heartbeats():
-            by_born.setdefault(beat['born'], []).append(beat['sequence'])
-        assert list(by_born) == [
+        sequences_by_start: dict[int, list[int]] = {}
+        for heartbeat in receiver.heartbeats():
+            sequences_by_start.setdefault(heartbeat['born'], []).append(
+                heartbeat['sequence']
+            )
+        assert list(sequences_by_start) == [
             first.incarnation.started_at_ms,
             second.incarnation.started_at_ms,
         ]
-        assert all(counts[0] == 1 for counts in by_born.values())
+        assert all(
+            sequences[0] == 1 for sequences in sequences_by_start.values()
+        )
         assert not record.two_owners
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_two_lives_of_one_id_are_two_owners() -> None:
-    """A life under the same id elsewhere gets keys that the first holds."""
+def test_two_incarnations_of_one_id_are_two_owners() -> None:
+    """A second incarnation at another address gets keys of the first."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         record = RunRecord()
         first = server(record)
         await first.async_start()
@@ -143,36 +149,38 @@
         await second.async_crash()
         assert len(record.two_owners) == 1
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_a_flawed_heartbeat_uses_up_no_sequence() -> None:
-    """What was taken up of it would shadow the sound one that follows."""
+def test_a_malformed_heartbeat_uses_no_sequence_number() -> None:
+    """Applied in part, it would hide the valid heartbeat that follows."""
 
-    async def story() -> None:
-        async with listening() as listener:
-            sender = server(RunRecord())
-            chooser = random.Random(4)
+    async def scenario() -> None:
+        async with receiving_reports() as receiver:
+            keyed_server = server(RunRecord())
+            rng = random.Random(4)
             for flaw in Flaw:
-                status = await sender.reporter.async_say_strange(flaw, chooser)
+                status = await keyed_server.reporter.async_send_malformed(
+                    flaw, rng
+                )
                 assert status == 200
-            stranger = 'i-stranger'
-            await sender.reporter.async_say_strange(
-                Flaw.MISSING, chooser, stranger
+            other_id = 'i-stranger'
+            await keyed_server.reporter.async_send_malformed(
+                Flaw.MISSING, rng, other_id
             )
-            assert await sender.async_heartbeat()
-            await sender.async_crash()
-        names = [instance for instance, _ in listener.said]
-        assert names[-2:] == [stranger, sender.instance]
-        assert json.loads(listener.said[-1][1])['sequence'] == 1
+            assert await keyed_server.async_heartbeat()
+            await keyed_server.async_crash()
+        names = [instance for instance, _ in receiver.received]
+        assert names[-2:] == [other_id, keyed_server.instance]
+        assert json.loads(receiver.received[-1][1])['sequence'] == 1
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_the_store_holds_rows_of_other_writers() -> None:
-    """Another writer puts bytes between the rows of the product."""
+def test_store_returns_rows_of_other_writers() -> None:
+    """Another writer puts undecodable bytes between the product's rows."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         store = SharedStore(BootClock())
         await store.async_listen(STORE)
         store.rows.put('any', 'member/b', b'sound', 'cases')
@@ -190,4 +198,4 @@
         assert [row['key'] for row in rows] == ['member/a', 'member/b']
         assert store.rows.body_of(('any', 'cases', 'member/a')) == b'\xff\xfe\0'
 
-    asyncio.run(story())
+    asyncio.run(scenario())
