--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Run the real programs as processes, break things, and check the promises."""
+"""Runs the real programs as processes, injects faults, checks guarantees."""
--- a/soak/cluster.py
+++ b/soak/cluster.py
@@ -1,4 +1,4 @@
-"""The processes of one run: a store, servers, routers, and relays."""
+"""Processes of one run: a store, servers, routers and relays."""
 
 import asyncio
 import json
@@ -24,20 +24,20 @@
 PLAIN = 'letters'
 HOST = 'x.example'
 ZONES = 3
-# Of three instances one is beside a server of the plain service.
+# Every third instance has a server of the plain service.
 PLAIN_EVERY = 3
 PEERS_PORT = 17_380
 WORK_MS = 12
 SLOTS = 4
 START_LIMIT_S = 30.0
-LOOK_S = 0.1
+POLL_S = 0.1
 CALL_LIMIT_S = 1.0
 STATUS_OK = 200
 
 
 @dataclass(slots=True, frozen=True)
 class Instance:
-    """One instance: its real address and the one that peers know."""
+    """One instance: its bind address and the relayed one that peers use."""
 
     number: int
     zone: str
@@ -47,32 +47,32 @@
 
     @property
     def callers(self) -> str:
-        """Return where callers on this instance send requests."""
+        """Return the address that callers on this instance use."""
         return f'{self.ip}:18147'
 
     @property
     def server(self) -> str:
-        """Return where this instance's server listens."""
+        """Return the address on which this instance's server listens."""
         return f'{self.ip}:18145'
 
     @property
     def reports(self) -> str:
-        """Return where this instance's server sends its heartbeats."""
+        """Return the address that the server sends heartbeats to."""
         return f'{self.ip}:18144'
 
     @property
     def ready(self) -> str:
-        """Return where this instance tells whether it takes work."""
+        """Return the address of this instance's readiness probe."""
         return f'{self.ip}:18141'
 
 
 class Cluster:
-    """Start, signal and end the processes; order faults of the stand-ins."""
+    """Starts, signals and ends processes, and commands the stand-ins."""
 
     def __init__(
         self, count: int, block: int, folder: Path, work_ms: float = WORK_MS
     ) -> None:
-        """Plan instances in a block of loopback addresses of their own."""
+        """Create instances in a separate block of loopback addresses."""
         self._work_ms = work_ms
         self.folder = folder
         self.clock = BootClock()
@@ -85,11 +85,11 @@
         self._process_by_name: dict[str, subprocess.Popen[bytes]] = {}
         self._starts: Counter[int] = Counter()
         self.links: dict[str, Any] = {}
-        # How often the store has come back from a copy.
+        # Number of times that the store was restored from a snapshot.
         self.store_epoch = 0
 
     def __enter__(self) -> 'Cluster':
-        """Start everything."""
+        """Start all processes."""
         self._spawn('store', 'standins.shared_store', f'--address={self.store}')
         routes = [
             f'{kind}={each.known_ip}:{PEERS_PORT}={each.ip}:{PEERS_PORT}'
@@ -115,7 +115,7 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Kill everything that still runs, each by its own id."""
+        """Kill the processes that still run, each by its own id."""
         for process in self._process_by_name.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -127,7 +127,7 @@
     def start_server(
         self, instance: Instance, *, keeps_id: bool = False
     ) -> None:
-        """Start a life of an instance's server, under a new id or its last."""
+        """Start an incarnation of a server, under a new id or its last one."""
         if not keeps_id:
             self._starts[instance.number] += 1
         kind = '--keyed' if instance.service == KEYED else '--plain'
@@ -146,11 +146,11 @@
         )
 
     def server_id(self, instance: Instance) -> str:
-        """Return the id under which an instance's server was last started."""
+        """Return the id of the last started server of an instance."""
         return f'i-{instance.number}-{self._starts[instance.number]}'
 
     def start_router(self, instance: Instance) -> None:
-        """Start a run of an instance's process."""
+        """Start an instance's process."""
         path = self.folder / f'settings-{instance.number}.yaml'
         settings = _settings(instance, self.store)
         settings['self']['bootstrap'] = not path.exists()
@@ -174,43 +174,47 @@
         return self._process_by_name[name].pid
 
     def ended(self) -> list[str]:
-        """Return the names of processes that do not run."""
+        """Return the names of processes that have ended."""
         return [name for name in self._process_by_name if not self.runs(name)]
 
     def runs(self, name: str) -> bool:
-        """Tell whether a process runs."""
+        """Return whether a process runs."""
         return self._process_by_name[name].poll() is None
 
     async def async_configure(self, version: int) -> None:
-        """Put a configuration in force."""
+        """Write a configuration to the store."""
         text = json.dumps(_configuration(version))
-        await self.async_order(self.store, {'config': text})
+        await self.async_send_command(self.store, {'config': text})
 
-    async def async_order(self, address: str, order: dict[str, Any]) -> None:
-        """Order faults of a stand-in."""
-        call = Call('POST', address, '/-/fault', (), json.dumps(order).encode())
+    async def async_send_command(
+        self, address: str, command: dict[str, Any]
+    ) -> None:
+        """Send a command to a stand-in; a failed call is ignored."""
+        call = Call(
+            'POST', address, '/-/fault', (), json.dumps(command).encode()
+        )
         with suppress(TimeoutError, ChannelClosedError, ConnectFailedError):
             async with asyncio.timeout(CALL_LIMIT_S):
                 await fetch(self.pool, call, fresh=True)
 
-    async def async_link(self, **changes: Any) -> None:
-        """Change what the relays do to links, beside what they do already."""
+    async def async_update_links(self, **changes: Any) -> None:
+        """Change some link faults and keep the others."""
         self.links.update(changes)
-        await self.async_order(self.network, self.links)
+        await self.async_send_command(self.network, self.links)
         for once in ('reset', 'silence'):
             self.links.pop(once, None)
 
     async def async_start(self) -> bool:
-        """Configure, and wait until every instance takes work."""
-        ends = self.clock.now() + START_LIMIT_S
-        while self.clock.now() < ends:
+        """Configure; return whether every instance became ready in time."""
+        deadline = self.clock.now() + START_LIMIT_S
+        while self.clock.now() < deadline:
             await self.async_configure(1)
             ready = [
                 await self._is_ready(instance) for instance in self.instances
             ]
             if all(ready):
                 return True
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_S)
         return False
 
     async def _is_ready(self, instance: Instance) -> bool:
@@ -245,9 +249,9 @@
     return f'server-{instance.number}'
 
 
-def instance_number(instance: str) -> int:
-    """Return the number of the instance whose server has an id."""
-    _, number, _ = instance.split('-')
+def instance_number(server_id: str) -> int:
+    """Return the number of the instance that a server id belongs to."""
+    _, number, _ = server_id.split('-')
     return int(number)
 
 
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -1,6 +1,6 @@
-"""What goes wrong when, from a seed. Pure: the same seed, the same schedule.
+"""Schedule of faults from a seed. Pure: a seed always gives the same schedule.
 
-Faults come in series and overlap; each is put right again after a while.
+Faults follow each other and overlap; each is ended after a while.
 """
 
 import random
@@ -13,7 +13,7 @@
 MAX_LENGTH_S = 5.0
 
 
-class Trouble(StrEnum):
+class FaultKind(StrEnum):
     """Kinds of faults."""
 
     KILL_ROUTER = 'kill-router'
@@ -27,28 +27,28 @@
     SILENCE = 'silence'
     RESET = 'reset'
     SLOW_LINK = 'slow-link'
-    STORE_AWAY = 'store-away'
-    STORE_AWAY_FOR_ONE = 'store-away-for-one'
-    STORE_LOSES = 'store-loses'
-    STORE_FORGETS = 'store-forgets'
+    STORE_OUTAGE = 'store-away'
+    STORE_OUTAGE_FOR_ONE = 'store-away-for-one'
+    STORE_LOSES_ANSWERS = 'store-loses'
+    STORE_DROPS_HISTORY = 'store-forgets'
     CONFIGURE = 'configure'
-    # A server is killed and back at once under the id that it had.
+    # A server is killed and restarted at once under the same id.
     RESTART_SERVER = 'restart-server'
-    # A writer that keeps to no rule speaks to a process, or to the store.
-    STRANGE_REPORT = 'strange-report'
-    STRANGE_ROW = 'strange-row'
-    # The store comes back from a copy that lacks the last seconds.
-    STORE_GOES_BACK = 'store-goes-back'
-    # All instances lose power, with their processes and servers.
+    # A malformed heartbeat goes to a process, or a malformed row to the store.
+    MALFORMED_REPORT = 'strange-report'
+    MALFORMED_ROW = 'strange-row'
+    # The store is restored from a snapshot that lacks the last seconds.
+    STORE_RESTORED = 'store-goes-back'
+    # All processes and servers are killed, as by a power failure.
     POWER_OFF = 'power-off'
 
 
 @dataclass(slots=True, frozen=True)
 class Step:
-    """One fault: when, to which instance, for how long, which variant."""
+    """One fault: time, kind, instance, length and variant."""
 
     at: float
-    trouble: Trouble
+    trouble: FaultKind
     spot: int
     for_s: float
     variant: str = ''
@@ -57,28 +57,28 @@
 OUTAGES = ('busy', 'limited', 'reset', 'silent')
 
 
-ALL_TROUBLES = tuple(Trouble)
+ALL_FAULTS = tuple(FaultKind)
 
 
 def make_schedule(
     seed: int,
     seconds: float,
     spots: int,
-    troubles: tuple[Trouble, ...] = ALL_TROUBLES,
+    kinds: tuple[FaultKind, ...] = ALL_FAULTS,
 ) -> list[Step]:
-    """Return the steps of a run, in order."""
-    chooser = random.Random(seed)
+    """Return the steps of a run, ordered by time."""
+    rng = random.Random(seed)
     steps = []
     at = 1.0
     while at < seconds:
         steps.append(
             Step(
                 round(at, 3),
-                chooser.choice(troubles),
-                chooser.randrange(spots),
-                round(chooser.uniform(MIN_LENGTH_S, MAX_LENGTH_S), 3),
-                chooser.choice(OUTAGES),
+                rng.choice(kinds),
+                rng.randrange(spots),
+                round(rng.uniform(MIN_LENGTH_S, MAX_LENGTH_S), 3),
+                rng.choice(OUTAGES),
             )
         )
-        at += chooser.uniform(MIN_GAP_S, MAX_GAP_S)
+        at += rng.uniform(MIN_GAP_S, MAX_GAP_S)
     return steps
--- a/soak/verdict.py
+++ b/soak/verdict.py
@@ -1,4 +1,4 @@
-"""Compare what callers were told with what servers ran. Pure."""
+"""Checks the answers to callers against the runs at servers. Pure."""
 
 import json
 from collections import defaultdict
@@ -7,20 +7,20 @@
 from pathlib import Path
 from typing import Any
 
-from soak.callers import STATUS_OK, Told
+from soak.callers import STATUS_OK, RequestRecord
 from soak.cluster import KEYED, instance_number
-from standins.fences import Taken, find_stale_acquisitions
+from standins.fences import Acquisition, find_stale_acquisitions
 from standins.incarnation import Incarnation
 
-# Runs of one key at two servers may touch, by the reading of two clocks.
-TOUCH_S = 0.001
-# A final answer comes at most this long after the deadline.
+# Tolerance for overlaps of runs on a key, as two clocks are read.
+OVERLAP_TOLERANCE_S = 0.001
+# A final answer may arrive this long after the deadline.
 LATE_S = 0.5
 DEADLINE_S = 1.5
-# What a paused server finds waiting it takes up within this time of its thaw.
-THAW_S = 0.5
+# A server processes calls received during its pause within this time.
+RESUME_S = 0.5
 EVENT_TAKEN = 'taken'
-UNKNOWN = frozenset((502, 504))
+UNKNOWN_STATUSES = frozenset((502, 504))
 
 
 @dataclass(slots=True)
@@ -37,13 +37,13 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """Return the life that ran it; an id may have had several."""
+        """Return the incarnation that ran it; an id may have several."""
         return Incarnation(self.instance, self.born_ms)
 
 
 @dataclass(slots=True, frozen=True)
 class Pause:
-    """Time in which an instance's process, or its server, did nothing."""
+    """Time in which an instance's process or server was stopped."""
 
     spot: int
     began: float
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """Counts of one run; those of broken promises must be zero."""
+    """Counts of one run; from ``wrong_answers`` on, all must be zero."""
 
     requests: int = 0
     served: int = 0
@@ -71,14 +71,14 @@
     ended_by_itself: int = 0
 
     def broken(self) -> list[str]:
-        """Return the names of the promises that were broken."""
+        """Return the names of the guarantees that were broken."""
         counts = asdict(self)
-        promises = list(counts)[list(counts).index('wrong_answers') :]
-        return [name for name in promises if counts[name]]
+        guarantees = list(counts)[list(counts).index('wrong_answers') :]
+        return [name for name in guarantees if counts[name]]
 
 
 def read_runs(path: Path) -> list[Run]:
-    """Return the runs that servers noted."""
+    """Return the runs that servers recorded."""
     run_by_name: dict[tuple[str, Incarnation, float], Run] = {}
     for fields in _read_lines(path):
         if fields['event'] == EVENT_TAKEN:
@@ -92,7 +92,7 @@
                 fields['instance'],
                 fields['service'],
                 fields['began'],
-                # A server that was killed has ended its work with its life.
+                # The work of a killed server has ended with it.
                 fields['began'],
                 incarnation.started_at_ms,
             )
@@ -101,10 +101,12 @@
     return list(run_by_name.values())
 
 
-def read_taken(path: Path) -> list[Taken]:
-    """Return the keys that servers noted that they took."""
+def read_acquisitions(path: Path) -> list[Acquisition]:
+    """Return the acquisitions of keys that servers recorded."""
     return [
-        Taken(**{name: fields[name] for name in fields if name != 'event'})
+        Acquisition(
+            **{name: fields[name] for name in fields if name != 'event'}
+        )
         for fields in _read_lines(path)
         if fields['event'] == EVENT_TAKEN
     ]
@@ -115,81 +117,85 @@
 
 
 def judge(
-    told: list[Told],
+    records: list[RequestRecord],
     runs: list[Run],
     pauses: list[Pause],
-    taken: Sequence[Taken] = (),
+    acquisitions: Sequence[Acquisition] = (),
 ) -> Verdict:
-    """Count what was told and what was broken."""
+    """Count the answers and the broken guarantees."""
     runs_by_id: dict[str, list[Run]] = defaultdict(list)
     for run in runs:
         runs_by_id[run.request_id].append(run)
-    verdict = Verdict(requests=len(told))
-    for each in told:
+    verdict = Verdict(requests=len(records))
+    for each in records:
         _count(verdict, each, runs_by_id[each.request_id])
-    verdict.answered_late = sum(_is_late(each, pauses) for each in told)
+    verdict.answered_late = sum(_is_late(each, pauses) for each in records)
     verdict.two_owners = count_two_owners(runs)
     verdict.old_fences = sum(
-        not _was_thawed(each, pauses) for each in find_stale_acquisitions(taken)
+        not _was_resumed(each, pauses)
+        for each in find_stale_acquisitions(acquisitions)
     )
     return verdict
 
 
-def _count(verdict: Verdict, told: Told, runs: list[Run]) -> None:
-    verdict.served += told.status == STATUS_OK
-    verdict.refused += told.promises_not_run
-    verdict.unknown += told.status in UNKNOWN
-    verdict.no_answer += told.status == 0
-    verdict.wrong_answers += not told.is_own or (
-        told.status == STATUS_OK and not runs
+def _count(verdict: Verdict, record: RequestRecord, runs: list[Run]) -> None:
+    verdict.served += record.status == STATUS_OK
+    verdict.refused += record.reports_not_run
+    verdict.unknown += record.status in UNKNOWN_STATUSES
+    verdict.no_answer += record.status == 0
+    verdict.wrong_answers += not record.is_own or (
+        record.status == STATUS_OK and not runs
     )
-    verdict.ran_twice += told.is_once and len(runs) > 1
-    verdict.not_run_but_ran += told.promises_not_run and bool(runs)
-    is_letter = told.path.startswith('/letters')
+    verdict.ran_twice += record.is_unsafe and len(runs) > 1
+    verdict.not_run_but_ran += record.reports_not_run and bool(runs)
+    is_plain = record.path.startswith('/letters')
     verdict.wrong_service += any(
-        (run.service == KEYED) == is_letter for run in runs
+        (run.service == KEYED) == is_plain for run in runs
     )
 
 
-def _is_late(told: Told, pauses: list[Pause]) -> bool:
-    """Tell whether a final answer came late from a process that could act."""
-    if not told.status or told.done_at - told.sent_at <= DEADLINE_S + LATE_S:
+def _is_late(record: RequestRecord, pauses: list[Pause]) -> bool:
+    """Return whether an answer was late without a pause of the process."""
+    if (
+        not record.status
+        or record.done_at - record.sent_at <= DEADLINE_S + LATE_S
+    ):
         return False
     return not any(
         not pause.is_server
-        and pause.spot == told.spot
-        and pause.began < told.done_at
-        and told.sent_at < pause.ended
+        and pause.spot == record.spot
+        and pause.began < record.done_at
+        and record.sent_at < pause.ended
         for pause in pauses
     )
 
 
-def _was_thawed(taken: Taken, pauses: list[Pause]) -> bool:
-    """Tell whether a server took keys as it went on after a pause.
+def _was_resumed(acquisition: Acquisition, pauses: list[Pause]) -> bool:
+    """Return whether a server acquired keys as it resumed after a pause.
 
-    It then takes what was sent while it could do nothing.
+    It then processes grants that were sent during the pause.
     """
     return any(
         pause.is_server
-        and pause.spot == instance_number(taken.instance)
-        and pause.began <= taken.taken_at <= pause.ended + THAW_S
+        and pause.spot == instance_number(acquisition.instance)
+        and pause.began <= acquisition.taken_at <= pause.ended + RESUME_S
         for pause in pauses
     )
 
 
 def count_two_owners(runs: list[Run]) -> int:
-    """Count runs on a key that overlap with one of another life."""
+    """Count runs on a key that overlap a run of another incarnation."""
     runs_by_key: dict[int, list[Run]] = defaultdict(list)
     for run in runs:
         if run.service == KEYED:
             runs_by_key[run.key].append(run)
     found = 0
-    for on_key in runs_by_key.values():
-        on_key.sort(key=lambda run: run.began)
-        latest = on_key[0]
-        for run in on_key[1:]:
-            overlaps = run.began + TOUCH_S < latest.ended
-            found += overlaps and run.incarnation != latest.incarnation
+    for runs_on_key in runs_by_key.values():
+        runs_on_key.sort(key=lambda run: run.began)
+        latest = runs_on_key[0]
+        for run in runs_on_key[1:]:
+            is_overlapping = run.began + OVERLAP_TOLERANCE_S < latest.ended
+            found += is_overlapping and run.incarnation != latest.incarnation
             if run.ended > latest.ended:
                 latest = run
     return found
