--- a/soak/world.py
+++ b/soak/cluster.py
@@ -1,4 +1,4 @@
-"""The processes of one run: a store, servers, routers, and relays."""
+"""Processes of one run: a store, servers, routers and relays."""
 
 import asyncio
 import json
@@ -24,20 +24,20 @@
 PLAIN = 'letters'
 HOST = 'x.example'
 ZONES = 3
-# Of three instances one is beside a server of the plain service.
+# Every third instance has a server of the plain service.
 PLAIN_EVERY = 3
 PEERS_PORT = 17_380
 WORK_MS = 12
 SLOTS = 4
 START_LIMIT_S = 30.0
-LOOK_S = 0.1
+POLL_S = 0.1
 CALL_LIMIT_S = 1.0
 STATUS_OK = 200
 
 
 @dataclass(slots=True, frozen=True)
-class Spot:
-    """One instance: its real address and the one that peers know."""
+class Instance:
+    """One instance: its bind address and the relayed one that peers use."""
 
     number: int
     zone: str
@@ -47,51 +47,53 @@
 
     @property
     def callers(self) -> str:
-        """Return where callers on this instance send requests."""
+        """Return the address that callers on this instance use."""
         return f'{self.ip}:18147'
 
     @property
     def server(self) -> str:
-        """Return where this instance's server listens."""
+        """Return the address on which this instance's server listens."""
         return f'{self.ip}:18145'
 
     @property
     def reports(self) -> str:
-        """Return where this instance's server sends its heartbeats."""
+        """Return the address that the server sends heartbeats to."""
         return f'{self.ip}:18144'
 
     @property
     def ready(self) -> str:
-        """Return where this instance tells whether it takes work."""
+        """Return the address of this instance's readiness probe."""
         return f'{self.ip}:18141'
 
 
-class World:
-    """Start, signal and end the processes; order faults of the stand-ins."""
+class Cluster:
+    """Starts, signals and ends processes, and commands the stand-ins."""
 
     def __init__(
         self, count: int, block: int, folder: Path, work_ms: float = WORK_MS
     ) -> None:
-        """Plan instances in a block of loopback addresses of their own."""
+        """Create instances in a separate block of loopback addresses."""
         self._work_ms = work_ms
         self.folder = folder
         self.clock = BootClock()
         self.pool = Pool(self.clock)
         self.store = f'127.9.{block}.1:18142'
         self.network = f'127.9.{block}.2:19002'
-        self.spots = [_spot(number, block) for number in range(count)]
+        self.instances = [
+            _make_instance(number, block) for number in range(count)
+        ]
         self._process_by_name: dict[str, subprocess.Popen[bytes]] = {}
-        self._count_by_spot: Counter[int] = Counter()
+        self._starts: Counter[int] = Counter()
         self.links: dict[str, Any] = {}
-        # How often the store has come back from a copy.
+        # Number of times that the store was restored from a snapshot.
         self.store_epoch = 0
 
-    def __enter__(self) -> 'World':
-        """Start everything."""
+    def __enter__(self) -> 'Cluster':
+        """Start all processes."""
         self._spawn('store', 'standins.shared_store', f'--address={self.store}')
         routes = [
-            f'{kind}={spot.known_ip}:{PEERS_PORT}={spot.ip}:{PEERS_PORT}'
-            for spot in self.spots
+            f'{kind}={each.known_ip}:{PEERS_PORT}={each.ip}:{PEERS_PORT}'
+            for each in self.instances
             for kind in ('tcp', 'udp')
         ]
         self._spawn(
@@ -102,9 +104,9 @@
             f'--control={self.network}',
             *routes,
         )
-        for spot in self.spots:
-            self.start_server(spot)
-            self.start_router(spot)
+        for instance in self.instances:
+            self.start_server(instance)
+            self.start_router(instance)
         return self
 
     def __exit__(
@@ -113,7 +115,7 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Kill everything that still runs, each by its own id."""
+        """Kill the processes that still run, each by its own id."""
         for process in self._process_by_name.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -122,39 +124,41 @@
             process.wait()
         self.pool.close()
 
-    def start_server(self, spot: Spot, *, keeps_id: bool = False) -> None:
-        """Start a life of an instance's server, under a new id or its last."""
+    def start_server(
+        self, instance: Instance, *, keeps_id: bool = False
+    ) -> None:
+        """Start an incarnation of a server, under a new id or its last one."""
         if not keeps_id:
-            self._count_by_spot[spot.number] += 1
-        kind = '--keyed' if spot.service == KEYED else '--plain'
+            self._starts[instance.number] += 1
+        kind = '--keyed' if instance.service == KEYED else '--plain'
         self._spawn(
-            server_name(spot),
+            server_name(instance),
             'standins.keyed_server',
-            f'--service={spot.service}',
-            f'--zone={spot.zone}',
-            f'--address={spot.server}',
-            f'--reports={spot.reports}',
-            f'--instance={self.server_id(spot)}',
+            f'--service={instance.service}',
+            f'--zone={instance.zone}',
+            f'--address={instance.server}',
+            f'--reports={instance.reports}',
+            f'--instance={self.server_id(instance)}',
             kind,
             f'--slots={SLOTS}',
             f'--work-ms={self._work_ms}',
             f'--log={self.folder}/runs.jsonl',
         )
 
-    def server_id(self, spot: Spot) -> str:
-        """Return the id under which an instance's server was last started."""
-        return f'i-{spot.number}-{self._count_by_spot[spot.number]}'
+    def server_id(self, instance: Instance) -> str:
+        """Return the id of the last started server of an instance."""
+        return f'i-{instance.number}-{self._starts[instance.number]}'
 
-    def start_router(self, spot: Spot) -> None:
-        """Start a run of an instance's process."""
-        path = self.folder / f'settings-{spot.number}.yaml'
-        settings = _settings(spot, self.store)
+    def start_router(self, instance: Instance) -> None:
+        """Start an instance's process."""
+        path = self.folder / f'settings-{instance.number}.yaml'
+        settings = _settings(instance, self.store)
         settings['self']['bootstrap'] = not path.exists()
         path.write_text(yaml.safe_dump(settings))
         self._spawn(
-            router_name(spot),
+            router_name(instance),
             'plantaingrade.sidecar',
-            f'--peers-bind={spot.ip}:{PEERS_PORT}',
+            f'--peers-bind={instance.ip}:{PEERS_PORT}',
             '--binds-source',
             env={'PLANTAINGRADE_BOOT': str(path)},
         )
@@ -170,45 +174,51 @@
         return self._process_by_name[name].pid
 
     def ended(self) -> list[str]:
-        """Return the names of processes that do not run."""
+        """Return the names of processes that have ended."""
         return [name for name in self._process_by_name if not self.runs(name)]
 
     def runs(self, name: str) -> bool:
-        """Tell whether a process runs."""
+        """Return whether a process runs."""
         return self._process_by_name[name].poll() is None
 
     async def async_configure(self, version: int) -> None:
-        """Put a configuration in force."""
+        """Write a configuration to the store."""
         text = json.dumps(_configuration(version))
-        await self.async_order(self.store, {'config': text})
+        await self.async_send_command(self.store, {'config': text})
 
-    async def async_order(self, address: str, order: dict[str, Any]) -> None:
-        """Order faults of a stand-in."""
-        call = Call('POST', address, '/-/fault', (), json.dumps(order).encode())
+    async def async_send_command(
+        self, address: str, command: dict[str, Any]
+    ) -> None:
+        """Send a command to a stand-in; a failed call is ignored."""
+        call = Call(
+            'POST', address, '/-/fault', (), json.dumps(command).encode()
+        )
         with suppress(TimeoutError, ChannelClosedError, ConnectFailedError):
             async with asyncio.timeout(CALL_LIMIT_S):
                 await fetch(self.pool, call, fresh=True)
 
-    async def async_link(self, **changes: Any) -> None:
-        """Change what the relays do to links, beside what they do already."""
+    async def async_update_links(self, **changes: Any) -> None:
+        """Change some link faults and keep the others."""
         self.links.update(changes)
-        await self.async_order(self.network, self.links)
+        await self.async_send_command(self.network, self.links)
         for once in ('reset', 'silence'):
             self.links.pop(once, None)
 
     async def async_start(self) -> bool:
-        """Configure, and wait until every instance takes work."""
-        ends = self.clock.now() + START_LIMIT_S
-        while self.clock.now() < ends:
+        """Configure; return whether every instance became ready in time."""
+        deadline = self.clock.now() + START_LIMIT_S
+        while self.clock.now() < deadline:
             await self.async_configure(1)
-            ready = [await self._is_ready(spot) for spot in self.spots]
+            ready = [
+                await self._is_ready(instance) for instance in self.instances
+            ]
             if all(ready):
                 return True
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_S)
         return False
 
-    async def _is_ready(self, spot: Spot) -> bool:
-        call = Call('GET', spot.ready, '/v1/readyz')
+    async def _is_ready(self, instance: Instance) -> bool:
+        call = Call('GET', instance.ready, '/v1/readyz')
         try:
             async with asyncio.timeout(CALL_LIMIT_S):
                 reply = await fetch(self.pool, call, fresh=True)
@@ -229,27 +239,27 @@
             )
 
 
-def router_name(spot: Spot) -> str:
+def router_name(instance: Instance) -> str:
     """Return the name of an instance's process."""
-    return f'router-{spot.number}'
+    return f'router-{instance.number}'
 
 
-def server_name(spot: Spot) -> str:
+def server_name(instance: Instance) -> str:
     """Return the name of the process of an instance's server."""
-    return f'server-{spot.number}'
+    return f'server-{instance.number}'
 
 
-def spot_of(instance: str) -> int:
-    """Return the number of the instance whose server has an id."""
-    _, number, _ = instance.split('-')
+def instance_number(server_id: str) -> int:
+    """Return the number of the instance that a server id belongs to."""
+    _, number, _ = server_id.split('-')
     return int(number)
 
 
-def _spot(number: int, block: int) -> Spot:
+def _make_instance(number: int, block: int) -> Instance:
     zone = number % ZONES
     host = number // ZONES + 1
     service = PLAIN if number % PLAIN_EVERY == PLAIN_EVERY - 1 else KEYED
-    return Spot(
+    return Instance(
         number,
         f'z{zone}',
         f'127.10.{block + zone}.{host}',
@@ -258,20 +268,20 @@
     )
 
 
-def _settings(spot: Spot, store: str) -> dict[str, Any]:
+def _settings(instance: Instance, store: str) -> dict[str, Any]:
     return {
         'self': {
-            'nodeName': router_name(spot),
-            'ip': spot.known_ip,
-            'zone': spot.zone,
-            'appAddr': spot.server,
-            'service': spot.service,
+            'nodeName': router_name(instance),
+            'ip': instance.known_ip,
+            'zone': instance.zone,
+            'appAddr': instance.server,
+            'service': instance.service,
         },
         'network': {
             'listenAddrs': {
-                'outbound': spot.callers,
-                'ready': spot.ready,
-                'controlPlane': spot.reports,
+                'outbound': instance.callers,
+                'ready': instance.ready,
+                'controlPlane': instance.reports,
             },
             'internalPortRange': [PEERS_PORT, PEERS_PORT + 9],
         },
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -79,7 +79,7 @@
         assert [row.body for row in changes.rows] == [b'one']
         nothing = await client.async_follow('t', changes.version, 0.05)
         assert nothing.rows == ()
-        store.rows.forget_history()
+        store.rows.drop_history()
         assert isinstance(await client.async_follow('t', 0, 1), HistoryGone)
 
     run_scenario(scenario)
@@ -157,9 +157,9 @@
     """A store restored from a backup assigns the same row versions again."""
 
     async def scenario(store, client) -> None:
-        backup = store.rows.copy()
+        backup = store.rows.snapshot()
         before = await client.async_commit(FIRST)
-        store.rows.come_back(backup)
+        store.rows.restore(backup)
         assert (await client.async_read('t', 'p')).rows == ()
         again = replace(FIRST, epoch=client.epochs.newest)
         after = await client.async_commit(again)
@@ -177,9 +177,9 @@
     """
 
     async def scenario(store, client) -> None:
-        backup = store.rows.copy()
+        backup = store.rows.snapshot()
         first = await client.async_commit(FIRST)
-        store.rows.come_back(backup)
+        store.rows.restore(backup)
         store.rows.put('t', 'k', b'of another', 'p')
         change = Transaction(
             (Expected(NAME, first.version),), (Put(NAME, b'two'),)
@@ -199,12 +199,12 @@
     """
 
     async def scenario(store, client) -> None:
-        backup = store.rows.copy()
+        backup = store.rows.snapshot()
         await client.async_commit(FIRST)
         after = (await client.async_read('t', 'p')).version
         waiting = asyncio.create_task(client.async_follow('t', after, 5))
         await asyncio.sleep(0.05)
-        store.rows.come_back(backup)
+        store.rows.restore(backup)
         assert isinstance(await waiting, HistoryGone)
         store.rows.put('t', 'k', b'of another', 'p')
         assert isinstance(await client.async_follow('t', after, 5), HistoryGone)
