--- a/soak/malformed.py
+++ b/soak/malformed.py
@@ -6,7 +6,7 @@
 
 from plantaingrade.holds.lease import MemberRow, encode_member_row
 from plantaingrade.holds.rows import TABLE, member_row
-from plantaingrade.operators.wishes import wish_row
+from plantaingrade.operators.desired_state import desired_state_row
 from plantaingrade.peers.entity import Member
 from soak.cluster import PEERS_PORT, Instance, Cluster
 from standins.incarnation import Heartbeat, Incarnation
@@ -54,7 +54,7 @@
     name = rng.choice(
         (
             member_row(instance.service, UNKNOWN_ID, cluster.store_epoch),
-            wish_row(instance.service, instance.known_ip),
+            desired_state_row(instance.service, instance.known_ip),
         )
     )
     entry = {
