--- a/plantaingrade/cli.py
+++ b/plantaingrade/cli.py
@@ -29,21 +29,21 @@
 
 @main.command()
 @click.option('--server', required=True, help='Id of the backend server.')
-@click.option('--service', required=True, help='Service it belongs to.')
+@click.option('--service', required=True, help='Service of the server.')
 @click.option('--zone', required=True, help='Availability zone.')
 @click.option('--http', required=True, help='Listen for callers, ip:port.')
 @click.option('--udp', required=True, help='Listen for datagrams, ip:port.')
 @click.option('--rpc', required=True, help='Listen for gRPC, ip:port.')
-@click.option('--advertise-http', default='', help='Where callers reach it.')
-@click.option('--advertise-udp', default='', help='Where peers reach it.')
-@click.option('--advertise-rpc', default='', help='Where peers reach it.')
+@click.option('--advertise-http', default='', help='Address for callers.')
+@click.option('--advertise-udp', default='', help='Address for peers.')
+@click.option('--advertise-rpc', default='', help='Address for peers.')
 @click.option('--backend', required=True, help='Backend server, ip:port.')
 @click.option('--table', required=True, help='Table service, ip:port.')
 @click.option('--objects', required=True, help='Object store, ip:port.')
 @click.option('--table-name', default='plantaingrade', show_default=True)
 @click.option('--bucket', default='plantaingrade', show_default=True)
 @click.option('--slots', type=int, required=True, help='Concurrent requests.')
-@click.option('--dialect', required=True, help='status or text.')
+@click.option('--dialect', required=True, help='Dialect: status or text.')
 @click.option('--checks-fence/--no-checks-fence', required=True)
 def run(**flags: Any) -> None:
     """Run the process for one backend server."""
@@ -58,7 +58,7 @@
 
 
 @main.command('do')
-@click.option('--at', required=True, help='Any process, ip:port.')
+@click.option('--at', required=True, help='Address of any process, ip:port.')
 @click.option('--id', 'command_id', default='', help='Id of the command.')
 @click.argument('words', nargs=-1, required=True)
 def send(at: str, command_id: str, words: tuple[str, ...]) -> None:
@@ -72,7 +72,7 @@
 
 
 @main.command()
-@click.option('--at', required=True, help='Any process, ip:port.')
+@click.option('--at', required=True, help='Address of any process, ip:port.')
 @click.argument('document', type=click.File('rb'))
 def apply(at: str, document: Any) -> None:
     """Apply a declarations document."""
@@ -82,7 +82,7 @@
 
 
 @main.command()
-@click.option('--at', required=True, help='Any process, ip:port.')
+@click.option('--at', required=True, help='Address of any process, ip:port.')
 @click.argument('document', type=click.File('r'))
 def plan(at: str, document: Any) -> None:
     """Compare a declarations document with the one in force."""
@@ -97,7 +97,7 @@
 
 
 @main.command()
-@click.option('--at', required=True, help='Any process, ip:port.')
+@click.option('--at', required=True, help='Address of any process, ip:port.')
 def confirm(at: str) -> None:
     """Check that every process has applied the current generation."""
     _, servers = _call(at, 'statement', b'show servers', {})
