--- a/plantaingrade/holds/coordinator.py
+++ b/plantaingrade/holds/coordinator.py
@@ -56,7 +56,7 @@
         store: Store,
         maps: KeyMaps,
         member: Member,
-        life: IncarnationTracker,
+        tracker: IncarnationTracker,
         orders: ServerOrders,
         clock: Clock,
         log: EventLog,
@@ -70,7 +70,7 @@
         self._on_joined = links.on_joined
         self._clock = clock
         self._log = log
-        self._life = life
+        self._tracker = tracker
         self._member = member
         self._wake = asyncio.Event()
         self.registry = Registry(
@@ -276,7 +276,7 @@
         registry = self.registry
         self._epoch_started.clear()
         registry.advance_epoch()
-        if not self._life.accepts_work and not registry.is_joined:
+        if not self._tracker.accepts_work and not registry.is_joined:
             return RETRY_S
         if not registry.is_joined or registry.is_migrating:
             return await self._async_join_epoch()
@@ -304,7 +304,7 @@
 
     async def _async_grant_loop(self) -> None:
         while True:
-            if self.registry.is_joined and self._life.accepts_work:
+            if self.registry.is_joined and self._tracker.accepts_work:
                 await self.granter.opener.async_open()
                 if self.granter.find_refence_reason() is not RefenceReason.NONE:
                     self._fences_needed.set()
--- a/plantaingrade/requests/server_path.py
+++ b/plantaingrade/requests/server_path.py
@@ -88,7 +88,7 @@
         '_gate',
         '_holds',
         '_hooks',
-        '_life',
+        '_tracker',
         '_log',
         '_failures',
         '_pool',
@@ -102,7 +102,7 @@
     def __init__(
         self,
         codec: ServerCodec,
-        life: IncarnationTracker,
+        tracker: IncarnationTracker,
         holds: HoldCoordinator,
         gate: Gate,
         pool: Pool,
@@ -122,7 +122,7 @@
         self._failures = FailureRates()
         self._unreached_until = 0.0
         self._codec = codec
-        self._life = life
+        self._tracker = tracker
         self._holds = holds
         self._gate = gate
         self._pool = pool
@@ -135,7 +135,7 @@
         Return None if it accepts none.
         """
         is_closed = self.is_closed or self.is_evacuated or self.is_drained
-        if is_closed or not self._life.accepts_work:
+        if is_closed or not self._tracker.accepts_work:
             return None
         now = self._clock.now()
         if now < self._unreached_until:
@@ -144,7 +144,7 @@
         return FreeCapacity(
             queue.expected_wait_s(kind, priority, now),
             queue.estimate.expected_s(kind),
-            self._failures.rate(self._life.instance, now),
+            self._failures.rate(self._tracker.instance, now),
         )
 
     def on_new_incarnation(self) -> None:
@@ -219,9 +219,9 @@
             expected_ms=round(
                 queue.estimate.expected_s(routed.kind) * MS_PER_S, 1
             ),
-            server=self._life.instance,
-            server_state=self._life.state,
-            server_heard_s=round(now - self._life.heard_at, 2),
+            server=self._tracker.instance,
+            server_state=self._tracker.state,
+            server_heard_s=round(now - self._tracker.heard_at, 2),
             owner=owned and owned.owner,
             fence=owned and owned.fence,
             map=self._holds.registry.key_map.version,
@@ -279,10 +279,10 @@
             return NotRun(NotRunReason.DRAINING, DEFAULT_RETRY_AFTER_S)
         if self._hooks.is_keyed() is None:
             return NotRun(NotRunReason.NO_CONFIG, DEFAULT_RETRY_AFTER_S)
-        if self._life.accepts_work:
+        if self._tracker.accepts_work:
             return None
         now = self._clock.now()
-        if self._needs_hold(routed) and self._life.is_finishing(now):
+        if self._needs_hold(routed) and self._tracker.is_finishing(now):
             # The transfer of its keys may not have finished yet.
             return None
         return NotRun(NotRunReason.SERVER_DOWN, DEFAULT_RETRY_AFTER_S)
@@ -330,7 +330,7 @@
             self._pool.forget(self._codec.address)
             outcome = Unknown(UnknownReason.TIMEOUT)
         now = self._clock.now()
-        self._failures.observe(self._life.instance, outcome, now)
+        self._failures.observe(self._tracker.instance, outcome, now)
         if not isinstance(outcome, NotRun):
             took_s = now - began
             self._gate.queue.estimate.observe(routed.kind, took_s)
@@ -339,7 +339,7 @@
     async def _async_exchange(
         self, routed: RoutedRequest, left_s: float
     ) -> Outcome:
-        instance = self._life.instance
+        instance = self._tracker.instance
         max_idle_s = None if routed.is_idempotent else MAX_IDLE_NON_IDEMPOTENT_S
         address = self._codec.address
         try:
@@ -416,7 +416,7 @@
 
     def _to_outcome(self, reply: ServerReply, body: bytes) -> Outcome:
         if reply.is_not_run:
-            if reply.instance and reply.instance != self._life.instance:
+            if reply.instance and reply.instance != self._tracker.instance:
                 self._hooks.on_unexpected_incarnation(reply.instance)
             self._log.write(
                 'server-refused',
