--- a/plantaingrade/backends/incarnation.py
+++ b/plantaingrade/backends/incarnation.py
@@ -53,7 +53,7 @@
 
     incarnation: ServerIncarnation
     sequence: int
-    heard_at: float
+    last_received_at: float
 
 
 class IncarnationTracker:
@@ -94,7 +94,7 @@
         '_sequence',
         'cold_until',
         'finish_until',
-        'heard_at',
+        'last_received_at',
         'present',
         'slots',
         'state',
@@ -109,7 +109,7 @@
         self._ended: dict[ServerIncarnation, None] = {}
         self._doubted: DoubtedLife | None = None
         self._reset(NOBODY)
-        self.heard_at = 0.0
+        self.last_received_at = 0.0
 
     @property
     def instance(self) -> str:
@@ -194,7 +194,7 @@
             )
             return NO_CHANGE
         is_rising = heartbeat.sequence > first.sequence
-        if is_rising and now - first.heard_at >= DOUBT_S:
+        if is_rising and now - first.last_received_at >= DOUBT_S:
             return self._begin_by(heartbeat, now)
         return NO_CHANGE
 
@@ -231,7 +231,7 @@
         if self.instance and incarnation != self.present:
             self._end(self.present)
         self._reset(incarnation)
-        self.heard_at = now
+        self.last_received_at = now
 
     def _reset(self, incarnation: ServerIncarnation) -> None:
         """Know of a life that it runs, and nothing else."""
@@ -265,7 +265,7 @@
         self._sequence = heartbeat.sequence
         self.slots = heartbeat.slots
         self.cold_until = now + heartbeat.cold_s
-        self.heard_at = now
+        self.last_received_at = now
         if self.state is not IncarnationState.DRAINING:
             is_draining = heartbeat.state is ReportedState.DRAINING
             self.state = (
--- a/plantaingrade/requests/server_path.py
+++ b/plantaingrade/requests/server_path.py
@@ -221,7 +221,7 @@
             ),
             server=self._tracker.instance,
             server_state=self._tracker.state,
-            server_heard_s=round(now - self._tracker.heard_at, 2),
+            server_heard_s=round(now - self._tracker.last_received_at, 2),
             owner=owned and owned.owner,
             fence=owned and owned.fence,
             map=self._holds.registry.key_map.version,
--- a/tests/backends/test_life.py
+++ b/tests/backends/test_life.py
@@ -145,7 +145,7 @@
     assert not life.is_finishing(11.1)
     assert not life.finish_until
     assert life.cold_until == 11 + 3
-    assert life.heard_at == 11
+    assert life.last_received_at == 11
 
 
 def test_a_life_that_is_only_named_has_no_figures_of_the_one_before() -> None:
