--- a/plantaingrade/backends/__init__.py
+++ b/plantaingrade/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters to the dialects of backend servers."""
+"""Adapters to the dialects of backend servers, and their health."""
--- a/plantaingrade/backends/const.py
+++ b/plantaingrade/backends/const.py
@@ -1,6 +1,6 @@
-"""Constants of the adapters."""
+"""Constants of the adapters; times in seconds."""
 
-HEALTH_EVERY_S = 0.2
+HEALTH_INTERVAL_S = 0.2
 HEALTH_TIMEOUT_S = 0.25
 MISSES_UNTIL_DOWN = 2
 READY_STREAK = 2
--- a/plantaingrade/backends/coordinator.py
+++ b/plantaingrade/backends/coordinator.py
@@ -1,11 +1,11 @@
-"""Watch the backend server beside this process."""
+"""Monitor the backend server of this process."""
 
 import asyncio
 
 from absl import logging
 
 from plantaingrade.backends.const import (
-    HEALTH_EVERY_S,
+    HEALTH_INTERVAL_S,
     HEALTH_TIMEOUT_S,
     LEASE_PATH,
     MISSES_UNTIL_DOWN,
@@ -20,7 +20,7 @@
 
 
 class BackendCoordinator:
-    """Poll health and load once for every part that needs them."""
+    """Polls health and load of the backend server for all other parts."""
 
     __slots__ = (
         '_dialect',
@@ -33,7 +33,7 @@
     )
 
     def __init__(self, pool: Pool, address: str, dialect: Dialect) -> None:
-        """Start without any report."""
+        """Start without a report."""
         self._pool = pool
         self.address = address
         self._dialect = dialect
@@ -51,10 +51,10 @@
         """Poll until cancelled."""
         while True:
             await self.async_poll()
-            await asyncio.sleep(HEALTH_EVERY_S)
+            await asyncio.sleep(HEALTH_INTERVAL_S)
 
     async def async_poll(self) -> None:
-        """Ask once and judge the server by the answer."""
+        """Poll the server once and update its state."""
         call = Call('GET', self.address, self._dialect.path)
         try:
             async with asyncio.timeout(HEALTH_TIMEOUT_S):
@@ -66,21 +66,22 @@
             self.on_miss()
 
     async def async_extend(self, until: float) -> None:
-        """Tell a server that checks fences how long its grants hold."""
+        """Send the end of the lease to a server that checks fences."""
         headers = ((HEADER_LEASE_UNTIL.decode(), f'{until:.6f}'),)
         call = Call('PUT', self.address, LEASE_PATH, headers)
         try:
             async with asyncio.timeout(HEALTH_TIMEOUT_S):
                 await fetch(self._pool, call)
         except (TimeoutError, ChannelClosedError, ConnectFailedError):
-            # The grants end by themselves; the health poll judges the server.
+            # The grants expire on their own, and the health poll detects a
+            # failed server.
             return
 
     def on_report(self, report: Report) -> None:
-        """Take a report in.
+        """Apply a report.
 
-        A single report is not trusted after the server was down: it must report
-        ready ``READY_STREAK`` times in a row.
+        A server that was down leaves that state only after ``READY_STREAK``
+        reports in a row, as it may have been frozen and not be usable yet.
         """
         self._misses = 0
         self.report = report
@@ -90,12 +91,12 @@
         self._set_state(report.state)
 
     def on_refused(self) -> None:
-        """Note a refused connection: nobody listens there."""
+        """Mark the server as down, as nothing listens at its address."""
         self._misses = MISSES_UNTIL_DOWN
         self.on_miss()
 
     def on_miss(self) -> None:
-        """Note a poll without a usable answer."""
+        """Count a poll without a valid answer."""
         self._streak = 0
         self._misses += 1
         if self._misses >= MISSES_UNTIL_DOWN:
--- a/plantaingrade/backends/dialects.py
+++ b/plantaingrade/backends/dialects.py
@@ -1,4 +1,4 @@
-"""Choose the adapter for a vendor's dialect."""
+"""Select the adapter for a vendor's dialect."""
 
 from plantaingrade.backends import status_dialect, text_dialect
 from plantaingrade.backends.const import DIALECT_STATUS, DIALECT_TEXT
@@ -7,7 +7,7 @@
     Report,
     StatusDialect,
     TextDialect,
-    Verdict,
+    ResponseKind,
 )
 
 DIALECT_BY_NAME: dict[str, Dialect] = {
@@ -17,10 +17,10 @@
 
 
 def read_report(dialect: Dialect, body: bytes) -> Report:
-    """Return a health report in the one form that the router uses.
+    """Return a health report in the form common to all dialects.
 
     Raises:
-        ValueError: the body is no report of this dialect.
+        ValueError: the body is not a report of this dialect.
     """
     match dialect:
         case StatusDialect():
@@ -33,8 +33,8 @@
     dialect: Dialect,
     status: int,
     headers: dict[bytes, bytes],
-) -> Verdict:
-    """Tell what an answer's head says about whether the request was run."""
+) -> ResponseKind:
+    """Return what status and headers prove about whether a request ran."""
     match dialect:
         case StatusDialect():
             return status_dialect.classify_response(status, headers)
--- a/plantaingrade/backends/entity.py
+++ b/plantaingrade/backends/entity.py
@@ -1,4 +1,4 @@
-"""What backend servers report, in one form for all vendors."""
+"""Reports and responses of backend servers, common to all vendors."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class BackendState(StrEnum):
-    """State of a backend server as its process sees it."""
+    """State of a backend server as seen by its process."""
 
     STARTING = 'starting'
     READY = 'ready'
@@ -16,7 +16,7 @@
 
 
 class Report(Struct, frozen=True):
-    """One report of health and load, which may lag or mislead."""
+    """A report of health and load, which may be outdated or wrong."""
 
     state: BackendState
     in_flight: int
@@ -30,7 +30,7 @@
 
 
 class TextDialect(Struct, frozen=True):
-    """Text at ``/health``; refusals told apart by status 429 and 412."""
+    """Text at ``/health``; refusals marked by status 429 and 412."""
 
     path: str = '/health'
 
@@ -39,15 +39,15 @@
 
 
 class Ran(Struct, frozen=True):
-    """The answer comes from work that was run."""
+    """The request ran, or nothing proves that it did not."""
 
 
 class Shed(Struct, frozen=True):
-    """The server refused the request before running it."""
+    """The server refused the request, for load, before running it."""
 
 
 class FenceRefused(Struct, frozen=True):
-    """The server refused a stale grant of ownership."""
+    """The server refused the request, for a stale fence, before running."""
 
 
-Verdict = Ran | Shed | FenceRefused
+ResponseKind = Ran | Shed | FenceRefused
--- a/plantaingrade/backends/incarnation.py
+++ b/plantaingrade/backends/incarnation.py
@@ -1,4 +1,4 @@
-"""What this process believes about the backend server beside it."""
+"""Track which incarnation of the local backend server is running."""
 
 from enum import StrEnum
 
@@ -11,25 +11,27 @@
     ServerIncarnation,
 )
 
-# Lives that are remembered as over. A server restarts some times a day, and
-# heartbeats are late by seconds, so a few would do.
-MAX_ENDED_LIVES = 64
-# Time between two heartbeats of a life that seems to be an earlier one, after
-# which it is believed if the present life was not heard meanwhile. Heartbeats
-# come about each second, so a server whose clock stepped back is believed by
-# its second or third heartbeat, within two seconds of its start. Heartbeats
-# that a cut held up arrive together.
-DOUBT_S = 0.5
-# Time after a farewell that tells no start, from which on a heartbeat with one
-# shows that it was not of the present life: a server that has said farewell
-# sends no more heartbeats, and the last one before may be late.
-FAREWELL_DOUBT_S = 2.0
+# Ended incarnations that are remembered. A server restarts a few times a day
+# and heartbeats are late by seconds, so a few would be enough.
+MAX_ENDED_INCARNATIONS = 64
+# Shortest time between two heartbeats of an incarnation with an earlier start
+# time before it is accepted as the current one, if nothing was received from
+# the current one in between. Heartbeats are sent about once a second, so a
+# server whose clock stepped back is accepted at its second or third heartbeat,
+# within two seconds of its start. Heartbeats that were delayed by a network
+# partition arrive all at once and do not pass.
+CONFIRM_AFTER_S = 0.5
+# Time after a farewell without a start time from which on a heartbeat with a
+# start time proves that the farewell was not sent by the current incarnation.
+# A server sends no heartbeats after its farewell, but the last one before it
+# may be late.
+FAREWELL_REFUTE_AFTER_S = 2.0
 NEVER = float('inf')
-NOBODY = ServerIncarnation('')
+NO_INCARNATION = ServerIncarnation('')
 
 
 class IncarnationState(StrEnum):
-    """State of the present life of the server."""
+    """State of the current incarnation of the server."""
 
     UNKNOWN = 'unknown'
     READY = 'ready'
@@ -38,9 +40,9 @@
 
 
 class IncarnationChange(Struct, frozen=True):
-    """What a message changed; ``is_new_life`` means that no keys are held."""
+    """Change caused by a message; a new incarnation holds no keys."""
 
-    is_new_life: bool = False
+    is_new_incarnation: bool = False
     is_leaving: bool = False
     must_verify: str = ''
 
@@ -48,46 +50,48 @@
 NO_CHANGE = IncarnationChange()
 
 
-class DoubtedLife(Struct, frozen=True):
-    """A life that seems to be over, and its first heartbeat of late."""
+class CandidateIncarnation(Struct, frozen=True):
+    """A seemingly earlier incarnation and its first recent heartbeat."""
 
     incarnation: ServerIncarnation
     sequence: int
-    last_received_at: float
+    received_at: float
 
 
 class IncarnationTracker:
-    """Follow the lives of one server from its heartbeats.
-
-    A life is an id and the moment of its start. The rule:
-
-    - Of two lives with one id the one that started later is the present one,
-      whatever its ``sequence``. It knows nothing of before, so nothing that
-      the life before told is kept.
-    - Of two lives with different ids the server itself, when asked, names the
-      present one; heartbeats may cross on their way.
-    - A life that was followed by another has ended, and what it said still
-      arrives late: it is passed over, by id and start. Only the server itself
-      can bring an id back.
-    - A life with the present id and an earlier start that is not known to have
-      ended is doubted. It is believed once its heartbeats have risen over
-      ``DOUBT_S`` with nothing heard of the present life between them.
-    - Where no start is told an id is a life. A farewell without a start ends
-      the present life with its id; if that tells starts and still says that
-      it is ready ``FAREWELL_DOUBT_S`` later, it was of an earlier life, and
-      the server takes work again as a new one.
-
-    A life says nothing more after its end, and what is still on its way arrives
-    together or between heartbeats of the life that runs. So a heartbeat that
-    was held up is not taken for one of the server that runs now.
-
-    A server whose clock has stepped back is found by the rule on doubt: the
-    earlier life is silent. A late heartbeat that is believed by mistake costs
-    new fences and no more; what a server holds does not depend on this belief.
+    """Tracks the current incarnation of one server from its heartbeats.
+
+    An incarnation is identified by an id and a start time. The rules:
+
+    - Of two incarnations with the same id, the one that started later is the
+      current one, whatever its ``sequence``. It has no state from before, so
+      nothing reported by the earlier one is kept.
+    - Of two incarnations with different ids, the server itself names the
+      current one when asked, as heartbeats may be reordered in transit.
+    - An incarnation that was followed by another one has ended. Its delayed
+      heartbeats are ignored, by id and start time. Only the server itself can
+      make an ended id current again.
+    - An incarnation with the current id and an earlier start time that is not
+      known to have ended is a candidate. It is accepted once its sequence has
+      increased over at least ``CONFIRM_AFTER_S`` with no heartbeat from the
+      current one in between.
+    - Without a start time, the id alone identifies an incarnation. A farewell
+      without a start time ends the current incarnation with that id. If that
+      one reports start times and still reports that it is ready
+      ``FAREWELL_REFUTE_AFTER_S`` later, the farewell was of an earlier
+      incarnation, and the server gets work again as a new one.
+
+    An incarnation sends nothing after its end. Its delayed heartbeats arrive
+    all at once or between heartbeats of the running one, so they are not
+    mistaken for heartbeats of the server that runs now.
+
+    A server whose clock stepped back is accepted as a candidate, because the
+    previous incarnation is silent. Accepting a late heartbeat by mistake costs
+    only new fences: which keys a server holds does not depend on this state.
     """
 
     __slots__ = (
-        '_doubted',
+        '_candidate',
         '_ended',
         '_farewell_at',
         '_finish_s',
@@ -95,166 +99,176 @@
         'cold_until',
         'finish_until',
         'last_received_at',
-        'present',
+        'current',
         'slots',
         'state',
     )
 
     def __init__(self, finish_s: float = 0.0) -> None:
-        """Know nothing yet.
+        """Start without a known incarnation.
 
-        A server that leaves may get work on its keys for ``finish_s`` more.
+        A draining server still gets work on its keys for ``finish_s`` seconds.
         """
         self._finish_s = finish_s
         self._ended: dict[ServerIncarnation, None] = {}
-        self._doubted: DoubtedLife | None = None
-        self._reset(NOBODY)
+        self._candidate: CandidateIncarnation | None = None
+        self._reset(NO_INCARNATION)
         self.last_received_at = 0.0
 
     @property
     def instance(self) -> str:
-        """Return the id of the present life, empty while none is known."""
-        return self.present.instance
+        """Return the id of the current incarnation, empty if none is known."""
+        return self.current.instance
 
     def is_finishing(self, now: float) -> bool:
-        """Tell whether a leaving server may still get work on its keys."""
+        """Return whether a draining server may still get work on its keys."""
         return (
             self.state is IncarnationState.DRAINING and now < self.finish_until
         )
 
     @property
     def accepts_work(self) -> bool:
-        """Tell whether new work may be sent."""
+        """Return whether new work may be sent to the server."""
         return self.state is IncarnationState.READY
 
     def on_heartbeat(
         self, heartbeat: Heartbeat, now: float
     ) -> IncarnationChange:
-        """Take a heartbeat."""
+        """Apply a heartbeat."""
         incarnation = heartbeat.incarnation
         if incarnation in self._ended:
             return NO_CHANGE
         if incarnation.instance != self.instance:
             if self.instance and self.state is not IncarnationState.GONE:
                 return IncarnationChange(must_verify=incarnation.instance)
-            return self._begin_by(heartbeat, now)
-        if self.present.is_before(incarnation):
-            return self._begin_by(heartbeat, now)
-        if incarnation.is_before(self.present):
-            return self._doubt(heartbeat, now)
-        if incarnation.born_ms is None and self.present.born_ms is not None:
-            # This server tells its start, so these are another's words.
+            return self._begin_from(heartbeat, now)
+        if self.current.is_before(incarnation):
+            return self._begin_from(heartbeat, now)
+        if incarnation.is_before(self.current):
+            return self._check_candidate(heartbeat, now)
+        if incarnation.born_ms is None and self.current.born_ms is not None:
+            # The current incarnation reports its start time, so this
+            # heartbeat is from another sender.
             return NO_CHANGE
         if self.state is IncarnationState.GONE:
-            return self._begin_by(heartbeat, now)
-        return self._go_on(heartbeat, now)
+            return self._begin_from(heartbeat, now)
+        return self._continue(heartbeat, now)
 
     def on_farewell(self, farewell: Farewell, now: float) -> IncarnationChange:
-        """Take the word that a life leaves; it still serves for a while."""
+        """Apply the farewell of an incarnation; it still serves for a while."""
         incarnation = farewell.incarnation
         if incarnation.instance != self.instance:
             self._end(incarnation)
             return NO_CHANGE
-        if incarnation in self._ended or incarnation.is_before(self.present):
+        if incarnation in self._ended or incarnation.is_before(self.current):
             return NO_CHANGE
-        is_new_life = self.present.is_before(incarnation)
-        if is_new_life:
+        is_new_incarnation = self.current.is_before(incarnation)
+        if is_new_incarnation:
             self._begin(incarnation, now)
         if self.state in {IncarnationState.DRAINING, IncarnationState.GONE}:
             return NO_CHANGE
-        self._leave(now)
-        if incarnation.born_ms is None and self.present.born_ms is not None:
+        self._start_draining(now)
+        if incarnation.born_ms is None and self.current.born_ms is not None:
             self._farewell_at = now
-        return IncarnationChange(is_new_life=is_new_life, is_leaving=True)
+        return IncarnationChange(
+            is_new_incarnation=is_new_incarnation, is_leaving=True
+        )
 
     def on_identified(self, instance: str, now: float) -> IncarnationChange:
-        """Take the id that the server itself gave just now.
+        """Apply the id that the server itself just returned.
 
-        It may be one that had ended: a server may start again under its id.
+        It may be an ended one, as a server may restart with the same id.
         """
         is_gone = self.state is IncarnationState.GONE
         if instance == self.instance and not is_gone:
             return NO_CHANGE
         self._begin(ServerIncarnation(instance), now)
-        self._bring_back(instance)
+        self._forget_ended(instance)
         self.state = IncarnationState.READY
-        return IncarnationChange(is_new_life=True)
+        return IncarnationChange(is_new_incarnation=True)
 
     def on_gone(self) -> None:
-        """Note that nothing listens at the server's address any more."""
-        self._end(self.present)
+        """Record that nothing listens at the server's address any more."""
+        self._end(self.current)
         self.state = IncarnationState.GONE
 
-    def _doubt(self, heartbeat: Heartbeat, now: float) -> IncarnationChange:
-        """Believe a life that seems to be over once it is heard on and on."""
-        first = self._doubted
+    def _check_candidate(
+        self, heartbeat: Heartbeat, now: float
+    ) -> IncarnationChange:
+        """Accept a seemingly earlier incarnation once it keeps sending."""
+        first = self._candidate
         if first is None or first.incarnation != heartbeat.incarnation:
-            self._doubted = DoubtedLife(
+            self._candidate = CandidateIncarnation(
                 heartbeat.incarnation, heartbeat.sequence, now
             )
             return NO_CHANGE
         is_rising = heartbeat.sequence > first.sequence
-        if is_rising and now - first.last_received_at >= DOUBT_S:
-            return self._begin_by(heartbeat, now)
+        if is_rising and now - first.received_at >= CONFIRM_AFTER_S:
+            return self._begin_from(heartbeat, now)
         return NO_CHANGE
 
-    def _go_on(self, heartbeat: Heartbeat, now: float) -> IncarnationChange:
-        """Take a heartbeat of the present life."""
+    def _continue(self, heartbeat: Heartbeat, now: float) -> IncarnationChange:
+        """Apply a heartbeat of the current incarnation."""
         if heartbeat.sequence <= self._sequence:
             return NO_CHANGE
         if self._refutes_farewell(heartbeat, now):
-            return self._begin_by(heartbeat, now)
-        self.present = heartbeat.incarnation
-        self._doubted = None
+            return self._begin_from(heartbeat, now)
+        self.current = heartbeat.incarnation
+        self._candidate = None
         was_leaving = self.state is IncarnationState.DRAINING
         self._apply(heartbeat, now)
         is_leaving = self.state is IncarnationState.DRAINING and not was_leaving
         if is_leaving:
-            self._leave(now)
+            self._start_draining(now)
         return IncarnationChange(is_leaving=is_leaving)
 
     def _refutes_farewell(self, heartbeat: Heartbeat, now: float) -> bool:
         if heartbeat.state is not ReportedState.READY:
             return False
-        return now - self._farewell_at >= FAREWELL_DOUBT_S
+        return now - self._farewell_at >= FAREWELL_REFUTE_AFTER_S
 
-    def _begin_by(self, heartbeat: Heartbeat, now: float) -> IncarnationChange:
-        """Begin a life by its first heartbeat here, which may be its last."""
+    def _begin_from(
+        self, heartbeat: Heartbeat, now: float
+    ) -> IncarnationChange:
+        """Begin an incarnation with its first heartbeat received here.
+
+        It may be the only one, and may report that the server drains.
+        """
         self._begin(heartbeat.incarnation, now)
         self._apply(heartbeat, now)
         is_leaving = self.state is IncarnationState.DRAINING
         if is_leaving:
-            self._leave(now)
-        return IncarnationChange(is_new_life=True, is_leaving=is_leaving)
+            self._start_draining(now)
+        return IncarnationChange(is_new_incarnation=True, is_leaving=is_leaving)
 
     def _begin(self, incarnation: ServerIncarnation, now: float) -> None:
-        if self.instance and incarnation != self.present:
-            self._end(self.present)
+        if self.instance and incarnation != self.current:
+            self._end(self.current)
         self._reset(incarnation)
         self.last_received_at = now
 
     def _reset(self, incarnation: ServerIncarnation) -> None:
-        """Know of a life that it runs, and nothing else."""
-        self.present = incarnation
+        """Make an incarnation current, with no state from the previous one."""
+        self.current = incarnation
         self.state = IncarnationState.UNKNOWN
         self.slots = 0
         self.cold_until = 0.0
         self.finish_until = 0.0
         self._sequence = -1
         self._farewell_at = NEVER
-        self._doubted = None
+        self._candidate = None
 
-    def _leave(self, now: float) -> None:
+    def _start_draining(self, now: float) -> None:
         self.state = IncarnationState.DRAINING
         self.finish_until = now + self._finish_s
 
     def _end(self, incarnation: ServerIncarnation) -> None:
         self._ended[incarnation] = None
-        if len(self._ended) > MAX_ENDED_LIVES:
+        if len(self._ended) > MAX_ENDED_INCARNATIONS:
             self._ended.pop(next(iter(self._ended)))
 
-    def _bring_back(self, instance: str) -> None:
-        """Forget that lives with this id have ended: one of them runs."""
+    def _forget_ended(self, instance: str) -> None:
+        """Remove the ended incarnations with this id, as one of them runs."""
         self._ended = {
             incarnation: None
             for incarnation in self._ended
--- a/plantaingrade/backends/report.py
+++ b/plantaingrade/backends/report.py
@@ -1,4 +1,4 @@
-"""What a backend server says of itself, typed."""
+"""Messages in which a backend server reports its own state."""
 
 from enum import StrEnum
 
@@ -6,25 +6,25 @@
 
 
 class ReportedState(StrEnum):
-    """What a backend server says of itself."""
+    """State that a backend server reports."""
 
     READY = 'ready'
     DRAINING = 'draining'
 
 
 class ServerIncarnation(Struct, frozen=True):
-    """One life of a backend server: its id, and when it started.
+    """One run of a backend server from a start to its end.
 
-    A server may start again under the id that it had, so that the id alone
-    does not name a life. ``born_ms`` is the start in milliseconds of the
-    server's own clock, or nothing where that was not told.
+    A server may restart with the same id, so the id alone does not identify
+    an incarnation. ``born_ms`` is the start time in milliseconds of the
+    server's own clock, or ``None`` where it was not reported.
     """
 
     instance: str
     born_ms: int | None = None
 
     def is_before(self, other: 'ServerIncarnation') -> bool:
-        """Tell whether both bear one id and this one started earlier."""
+        """Return whether both have one id and this one started earlier."""
         if self.instance != other.instance:
             return False
         if self.born_ms is None or other.born_ms is None:
@@ -35,8 +35,8 @@
 class Heartbeat(Struct, frozen=True):
     """One heartbeat.
 
-    ``sequence`` rises with each heartbeat of one life of the server, and
-    ``cold_s`` is how long it will stay slow.
+    ``sequence`` increases with each heartbeat of one incarnation, and
+    ``cold_s`` is how long the server will remain cold, in seconds.
     """
 
     incarnation: ServerIncarnation
@@ -49,10 +49,10 @@
 
 
 class ServerPresence(Struct, frozen=True):
-    """What a server says when it is asked who it is.
+    """Answer of a server that was asked for its id.
 
-    ``cold_s`` is how long it will stay slow, or nothing where it does not
-    tell.
+    ``cold_s`` is how long it will remain cold, in seconds, or ``None`` where
+    it does not report that.
     """
 
     instance: str
@@ -60,6 +60,6 @@
 
 
 class Farewell(Struct, frozen=True):
-    """The server says that this life of it leaves."""
+    """Message that this incarnation of the server is about to end."""
 
     incarnation: ServerIncarnation
--- a/plantaingrade/backends/status_dialect.py
+++ b/plantaingrade/backends/status_dialect.py
@@ -9,10 +9,10 @@
     Ran,
     Report,
     Shed,
-    Verdict,
+    ResponseKind,
 )
 
-STATE_BY_WORD = {
+STATE_BY_NAME = {
     'warming': BackendState.STARTING,
     'ready': BackendState.READY,
     'draining': BackendState.DRAINING,
@@ -25,21 +25,21 @@
     """Return the report in a body like ``{"state": "ready", ...}``.
 
     Raises:
-        ValueError: the body is no such report.
+        ValueError: the body is not such a report.
     """
     try:
         fields = json.loads(body)
         return Report(
-            STATE_BY_WORD[fields['state']],
+            STATE_BY_NAME[fields['state']],
             int(fields['in_flight']),
             int(fields['slots']),
         )
     except (KeyError, TypeError) as error:
-        raise ValueError('not a status report') from error
+        raise ValueError('malformed status report') from error
 
 
-def classify_response(status: int, headers: dict[bytes, bytes]) -> Verdict:
-    """Tell whether an answer proves that the request was not run."""
+def classify_response(status: int, headers: dict[bytes, bytes]) -> ResponseKind:
+    """Return whether an answer proves that the request did not run."""
     if headers.get(NOT_STARTED) == b'fence' and status == HTTPStatus.CONFLICT:
         return FenceRefused()
     if NOT_STARTED in headers and status == HTTPStatus.SERVICE_UNAVAILABLE:
--- a/plantaingrade/backends/text_dialect.py
+++ b/plantaingrade/backends/text_dialect.py
@@ -9,11 +9,11 @@
     Ran,
     Report,
     Shed,
-    Verdict,
+    ResponseKind,
 )
 
 LINE = re.compile(r'(OK|WARM|DRAIN|BUSY) load=(\d+)/(\d+)\s*')
-STATE_BY_WORD = {
+STATE_BY_NAME = {
     'WARM': BackendState.STARTING,
     'OK': BackendState.READY,
     'DRAIN': BackendState.DRAINING,
@@ -25,17 +25,17 @@
     """Return the report in a line like ``OK load=3/6``.
 
     Raises:
-        ValueError: the line is no such report.
+        ValueError: the body is not such a line.
     """
     line = LINE.fullmatch(body.decode())
     if line is None:
-        raise ValueError('not a health line')
-    word, in_flight, slots = line.groups()
-    return Report(STATE_BY_WORD[word], int(in_flight), int(slots))
+        raise ValueError('malformed health line')
+    name, in_flight, slots = line.groups()
+    return Report(STATE_BY_NAME[name], int(in_flight), int(slots))
 
 
-def classify_response(status: int, headers: dict[bytes, bytes]) -> Verdict:
-    """Tell whether an answer proves that the request was not run."""
+def classify_response(status: int, headers: dict[bytes, bytes]) -> ResponseKind:
+    """Return whether an answer proves that the request did not run."""
     if status == HTTPStatus.TOO_MANY_REQUESTS:
         return Shed()
     if status == HTTPStatus.PRECONDITION_FAILED and b'fence' in headers:
--- a/plantaingrade/sidecar/__init__.py
+++ b/plantaingrade/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The process beside one backend server on the users' platform."""
+"""The sidecar process of one backend server on the users' platform."""
--- a/plantaingrade/sidecar/adapter.py
+++ b/plantaingrade/sidecar/adapter.py
@@ -1,4 +1,4 @@
-"""What the adapter of a platform gives to the process."""
+"""Interface between the process and the adapter of a platform."""
 
 from collections.abc import Callable
 
@@ -19,7 +19,7 @@
 
 
 class PlatformAdapter(Struct, frozen=True):
-    """Typed doors to everything that speaks the platform's words."""
+    """Names, codecs and clients specific to a platform."""
 
     config_table: str
     config_key: str
--- a/plantaingrade/sidecar/cli.py
+++ b/plantaingrade/sidecar/cli.py
@@ -1,9 +1,9 @@
-"""Command line of the process beside a backend server."""
+"""Command line of the sidecar process of a backend server."""
 
 import click
 
 from plantaingrade.sidecar.run import run
-from plantaingrade.sidecar.settings import ENV_PREFIX, OwnOptions
+from plantaingrade.sidecar.settings import ENV_PREFIX, ProcessOptions
 
 
 @click.command(context_settings={'auto_envvar_prefix': ENV_PREFIX})
@@ -15,4 +15,4 @@
 )
 def main(peers_bind: str, binds_source: bool) -> None:
     """Run beside a backend server, as the platform's settings file says."""
-    run(OwnOptions(peers_bind, binds_source))
+    run(ProcessOptions(peers_bind, binds_source))
--- a/plantaingrade/sidecar/effects.py
+++ b/plantaingrade/sidecar/config_applier.py
@@ -1,36 +1,36 @@
-"""Put what the configuration says into effect at one process."""
+"""Apply the configuration to the parts of one process."""
 
 from plantaingrade.admission.cold import ColdAllowance, ColdLimit
 from plantaingrade.config.entity import RoutingConfig, ServiceConfig
 from plantaingrade.http.server import HttpServer
-from plantaingrade.sidecar.endpoints import CallerFront
+from plantaingrade.sidecar.endpoints import CallerEndpoint
 from plantaingrade.sidecar.settings import Bounds
 
 
-class ConfigEffects:
-    """Parts that follow the configuration, beside the routes."""
+class ConfigApplier:
+    """Applies all settings of the configuration except the routes."""
 
-    __slots__ = ('_bounds', '_cold', '_front', '_server', '_service')
+    __slots__ = ('_bounds', '_cold', '_caller_endpoint', '_server', '_service')
 
     def __init__(
         self,
         service: str,
         bounds: Bounds,
         server: HttpServer,
-        front: CallerFront,
+        caller_endpoint: CallerEndpoint,
         cold: ColdAllowance,
     ) -> None:
-        """Follow for callers at a server, and for the own backend server."""
+        """Apply limits for callers at a server, and for cold servers."""
         self._service = service
         self._bounds = bounds
         self._server = server
-        self._front = front
+        self._caller_endpoint = caller_endpoint
         self._cold = cold
 
     def apply(self, config: RoutingConfig) -> None:
-        """Take the limits on callers, and on what a cold server gets."""
+        """Apply the limits on callers and on the load of a cold server."""
         self._server.idle_s = config.limits.idle_timeout_s
-        self._front.limits = config.limits
+        self._caller_endpoint.limits = config.limits
         service = config.service_by_name.get(self._service)
         self._cold.apply_limit(self._cold_limit(service))
 
--- a/plantaingrade/sidecar/control.py
+++ b/plantaingrade/sidecar/control.py
@@ -1,4 +1,4 @@
-"""Paths on which processes talk about themselves."""
+"""HTTP endpoints for requests between processes, under ``/-/``."""
 
 from plantaingrade.balance.coordinator import BalanceCoordinator
 from plantaingrade.codec import MalformedMessageError
@@ -17,13 +17,13 @@
 STATUS_NOT_FOUND = 404
 
 
-class Control:
-    """Answer what other processes ask."""
+class ControlHandler:
+    """Handles control requests of other processes and of operators."""
 
     __slots__ = (
         '_balance',
         '_config',
-        '_desk',
+        '_store_relay',
         '_holds',
         '_operators',
         '_peers',
@@ -35,19 +35,19 @@
         holds: HoldCoordinator,
         balance: BalanceCoordinator,
         config: ConfigFollower,
-        desk: RelayHandler,
+        store_relay: RelayHandler,
         operators: OperatorDesk,
     ) -> None:
-        """Answer from the parts of the process."""
+        """Handle requests with the parts of the process."""
         self._peers = peers
         self._holds = holds
         self._balance = balance
         self._config = config
-        self._desk = desk
+        self._store_relay = store_relay
         self._operators = operators
 
     async def async_handle(self, raw: Request, body: bytes) -> Answer:
-        """Answer one question."""
+        """Handle one control request."""
         target = raw.target.decode('ascii', 'replace')
         if target.startswith(PATH_MAP):
             service = target.removeprefix(PATH_MAP)
@@ -66,7 +66,7 @@
             case '/-/config':
                 return self._answer_config()
             case '/-/handed':
-                return self._take_handed(body)
+                return self._apply_handover(body)
             case '/-/offer':
                 return self._answer_offer(body)
             case '/-/witness':
@@ -77,10 +77,12 @@
                 return await self._operators.async_read_wish()
             case '/-/store/commit':
                 return Answer(
-                    STATUS_OK, (), await self._desk.async_commit(body)
+                    STATUS_OK, (), await self._store_relay.async_commit(body)
                 )
             case '/-/store/read':
-                return Answer(STATUS_OK, (), await self._desk.async_read(body))
+                return Answer(
+                    STATUS_OK, (), await self._store_relay.async_read(body)
+                )
         return Answer(STATUS_NOT_FOUND, (), b'')
 
     def _answer_config(self) -> Answer:
@@ -89,7 +91,7 @@
             return Answer(STATUS_NOT_FOUND, (), b'')
         return Answer(STATUS_OK, (), config.source)
 
-    def _take_handed(self, body: bytes) -> Answer:
+    def _apply_handover(self, body: bytes) -> Answer:
         handed = self._peers.receive_handover(body)
         if handed is None:
             return Answer(STATUS_BAD_REQUEST, (), b'')
--- a/plantaingrade/sidecar/endpoints.py
+++ b/plantaingrade/sidecar/endpoints.py
@@ -1,4 +1,7 @@
-"""HTTP fronts of one process: for callers, peers, its server, the platform."""
+"""HTTP endpoints of one process.
+
+They serve callers, peers, the local backend server and the platform.
+"""
 
 from collections.abc import Awaitable, Callable
 
@@ -56,17 +59,17 @@
 
 STATUS_OK = 200
 STATUS_HEAD_TOO_LARGE = 431
-# Bytes around one header's name and text.
-SEPARATORS = 4
-# Characters of a rejected report that the log shows.
-MAX_WHY_CHARS = 200
+# Bytes around the name and value of one header.
+SEPARATOR_BYTES = 4
+# Maximum length of the logged reason for rejecting a report.
+MAX_REASON_CHARS = 200
 DecodeRequest = Callable[[Request, bytes, float], CallerRequest]
-OwnHeaders = Callable[[bytes], Headers]
+AnswerHeaders = Callable[[bytes], Headers]
 DecodeReport = Callable[[Request, bytes], Heartbeat | Farewell | None]
 
 
 def send_answer(channel: Channel, answer: Answer) -> None:
-    """Send a whole answer."""
+    """Send a complete answer."""
     headers = list(answer.headers)
     if answer.status not in BODILESS:
         headers.append((b'content-length', str(len(answer.body)).encode()))
@@ -77,22 +80,22 @@
 
 
 def refuse_malformed(channel: Channel, error: RemoteProtocolError) -> None:
-    """Answer bytes that are no HTTP request, if an answer can be sent."""
+    """Refuse bytes that are not an HTTP request, if an answer can be sent."""
     if channel.closed or channel.http.our_state is not State.IDLE:
         return
     status = error.status
     send_answer(channel, Answer(status, ((b'connection', b'close'),), b''))
 
 
-class CallerFront:
-    """Take requests that begin on this instance, and answer them."""
+class CallerEndpoint:
+    """Serves the requests of callers on this instance."""
 
     __slots__ = (
         '_clock',
         '_coordinator',
         '_decode',
-        '_own_headers',
-        '_room',
+        '_answer_headers',
+        '_buffer_budget',
         'is_closed',
         'limits',
     )
@@ -101,15 +104,15 @@
         self,
         coordinator: RequestCoordinator,
         decode: DecodeRequest,
-        own_headers: OwnHeaders,
+        answer_headers: AnswerHeaders,
         clock: Clock,
     ) -> None:
-        """Serve by a coordinator."""
-        self._room = BufferBudget()
+        """Serve requests with a coordinator."""
+        self._buffer_budget = BufferBudget()
         self.is_closed = False
         self._coordinator = coordinator
         self._decode = decode
-        self._own_headers = own_headers
+        self._answer_headers = answer_headers
         self._clock = clock
         self.limits = None
 
@@ -122,7 +125,7 @@
             return
         limit = None if self.limits is None else self.limits.max_body_bytes
         try:
-            async with self._room.read_body(channel, limit) as body:
+            async with self._buffer_budget.read_body(channel, limit) as body:
                 caller = self._decode(raw, body, arrived)
                 await self._async_answer(caller, channel)
         except BodyTooLongError:
@@ -131,15 +134,15 @@
             refusal = NotRun(
                 NotRunReason.NO_BUFFER_BUDGET, DEFAULT_RETRY_AFTER_S
             )
-            send_answer(channel, _answer_of(refusal))
+            send_answer(channel, _to_answer(refusal))
         except MalformedRequestError:
             send_answer(channel, Answer(STATUS_BAD_REQUEST, (), b''))
 
     async def _async_answer(
         self, caller: CallerRequest, channel: Channel
     ) -> None:
-        answer = _answer_of(await self._async_serve(caller))
-        headers = (*self._own_headers(caller.request_id), *answer.headers)
+        answer = _to_answer(await self._async_serve(caller))
+        headers = (*self._answer_headers(caller.request_id), *answer.headers)
         send_answer(channel, Answer(answer.status, headers, answer.body))
 
     async def _async_serve(self, caller: CallerRequest) -> Outcome | NoRoute:
@@ -150,12 +153,14 @@
     def _refuse_by_length(self, raw: Request) -> int:
         """Return the status for a request that is too long, or 0.
 
-        The parser bounds only heads that come in pieces.
+        The parser limits only heads that arrive in several pieces.
         """
         if self.limits is None:
             return 0
         pairs = raw.headers
-        head = sum(len(name) + len(text) + SEPARATORS for name, text in pairs)
+        head = sum(
+            len(name) + len(text) + SEPARATOR_BYTES for name, text in pairs
+        )
         if head + len(raw.target) > self.limits.max_header_bytes:
             return STATUS_HEAD_TOO_LARGE
         length = dict(pairs).get(b'content-length', b'0')
@@ -164,8 +169,8 @@
         return 0
 
 
-def _answer_of(outcome: Outcome | NoRoute) -> Answer:
-    """Return what a caller is told."""
+def _to_answer(outcome: Outcome | NoRoute) -> Answer:
+    """Return the answer to a caller for an outcome."""
     match outcome:
         case Answered(answer):
             return answer
@@ -181,8 +186,8 @@
             return Answer(STATUS_BAD_GATEWAY, (), b'')
 
 
-class PeerFront:
-    """Take requests of other processes."""
+class PeerEndpoint:
+    """Serves requests of other processes."""
 
     __slots__ = (
         '_clock',
@@ -202,10 +207,10 @@
         load: Callable[[], Load],
         on_known: Callable[[KnownVersions], None],
     ) -> None:
-        """Serve at the own server; ``control`` takes all else.
+        """Serve with the local server, and other paths with ``control``.
 
-        ``load`` is told with each answer; ``on_known`` is told of the
-        versions that senders go by.
+        Each answer includes ``load``; ``on_known`` is called with the versions
+        of configuration and map that a sender uses.
         """
         self._load = load
         self._on_known = on_known
@@ -234,49 +239,49 @@
     async def _async_serve(
         self, routed: RoutedRequest, map_version: int
     ) -> Outcome:
-        """Serve a request that was meant for the service here.
+        """Serve a request if it is for the service of this process.
 
-        An address may have passed here from a process of another service.
+        The address may have belonged to a process of another service before.
         """
         if routed.service != self._service:
             return NotRun(NotRunReason.OTHER_SERVICE)
         return await self._server.async_serve(routed, map_version)
 
 
-class ReadyFront:
-    """Tell the platform whether this process takes work."""
+class ReadinessEndpoint:
+    """Reports to the platform whether this process accepts work."""
 
     __slots__ = ('_is_ready',)
 
     def __init__(self, is_ready: Callable[[], bool]) -> None:
-        """Ask ``is_ready`` each time."""
+        """Call ``is_ready`` for each request."""
         self._is_ready = is_ready
 
     async def async_handle(self, raw: Request, channel: Channel) -> None:
-        """Answer one question."""
+        """Answer one request."""
         await read_body(channel)
         status = STATUS_OK if self._is_ready() else STATUS_UNAVAILABLE
         send_answer(channel, Answer(status, (), b''))
 
 
-class MetricsFront:
-    """Serve the figures of this process."""
+class MetricsEndpoint:
+    """Serves the metrics of this process."""
 
     __slots__ = ('_to_text',)
 
     def __init__(self, to_text: Callable[[], bytes]) -> None:
-        """Ask ``to_text`` each time."""
+        """Call ``to_text`` for each request."""
         self._to_text = to_text
 
     async def async_handle(self, raw: Request, channel: Channel) -> None:
-        """Answer one question."""
+        """Answer one request."""
         await read_body(channel)
         plain = ((b'content-type', b'text/plain; version=0.0.4'),)
         send_answer(channel, Answer(STATUS_OK, plain, self._to_text()))
 
 
-class ReportFront:
-    """Take heartbeats of the own server."""
+class ReportEndpoint:
+    """Receives heartbeats of the local server."""
 
     __slots__ = ('_decode', '_log', '_on_report')
 
@@ -286,16 +291,16 @@
         on_report: Callable[[Heartbeat | Farewell], bool],
         log: EventLog,
     ) -> None:
-        """Hand typed reports to ``on_report``.
+        """Pass decoded reports to ``on_report``.
 
-        It tells whether a report was of the own server.
+        It returns whether a report was from the local server.
         """
         self._decode = decode
         self._on_report = on_report
         self._log = log
 
     async def async_handle(self, raw: Request, channel: Channel) -> None:
-        """Take one report and acknowledge it."""
+        """Receive one report and acknowledge it."""
         body = await read_body(channel)
         try:
             report = self._decode(raw, body)
@@ -306,12 +311,12 @@
             send_answer(channel, Answer(STATUS_NOT_FOUND, (), b''))
             return
         if not self._on_report(report):
-            self._reject(channel, 'It names another server.')
+            self._reject(channel, 'The report names another server.')
             return
         json_type = ((b'content-type', b'application/json'),)
         send_answer(channel, Answer(STATUS_OK, json_type, b'{}'))
 
-    def _reject(self, channel: Channel, why: str) -> None:
-        """Refuse a report that nothing is learned from."""
-        self._log.write('report-rejected', why=why[:MAX_WHY_CHARS])
+    def _reject(self, channel: Channel, reason: str) -> None:
+        """Log and refuse an invalid report."""
+        self._log.write('report-rejected', why=reason[:MAX_REASON_CHARS])
         send_answer(channel, Answer(STATUS_BAD_REQUEST, (), b''))
--- a/plantaingrade/sidecar/exposition.py
+++ b/plantaingrade/sidecar/exposition.py
@@ -1,8 +1,8 @@
-"""Figures of one process in the text form of Prometheus.
+"""Metrics of one process in the text format of Prometheus.
 
-Imported when figures are asked for the first time, which on most instances is
-never: the library takes 47 ms to import, and OpenTelemetry's SDK before it took
-115 of the 600 ms of processor time of a start (one core of a busy machine).
+Imported at the first scrape, which on most instances never happens: the library
+takes 47 ms to import. OpenTelemetry's SDK took 115 of the 600 ms of processor
+time of a start (one core of a busy machine).
 """
 
 from collections.abc import Iterator, Mapping
@@ -24,17 +24,18 @@
 
 
 class Gauge(Struct, frozen=True):
-    """A figure as it stands now."""
+    """A gauge and its current value."""
 
     name: str
     description: str
-    reading: float
+    sample: float
 
 
 class Snapshot(Struct, frozen=True, eq=False):
-    """All figures at one moment; histograms by their labels.
+    """All metrics at one moment; histograms by their labels.
 
-    The library keeps its collectors in a table, so it is one by identity.
+    The library uses collectors as dictionary keys, so a snapshot is hashable by
+    identity.
     """
 
     count_by_kind: Mapping[str, int]
@@ -42,13 +43,11 @@
     gauges: tuple[Gauge, ...]
 
     def collect(self) -> Iterator[Metric]:
-        """Return the figures as the library wants them."""
+        """Yield the metrics in the form that the library expects."""
         yield self._events()
         yield self._durations()
         for gauge in self.gauges:
-            yield GaugeMetricFamily(
-                gauge.name, gauge.description, gauge.reading
-            )
+            yield GaugeMetricFamily(gauge.name, gauge.description, gauge.sample)
 
     def _events(self) -> Metric:
         family = CounterMetricFamily(
@@ -72,7 +71,7 @@
 
 
 def to_text(snapshot: Snapshot) -> bytes:
-    """Return figures as text."""
+    """Return a snapshot as text."""
     registry = CollectorRegistry()
     registry.register(snapshot)
     return generate_latest(registry)
--- a/plantaingrade/sidecar/gauges.py
+++ b/plantaingrade/sidecar/gauges.py
@@ -1,4 +1,4 @@
-"""Figures of one process that are read when they are asked for."""
+"""Gauges of one process, read at each scrape."""
 
 from msgspec import Struct
 
@@ -8,11 +8,11 @@
 from plantaingrade.config.coordinator import ConfigFollower
 from plantaingrade.holds.registry import Registry
 from plantaingrade.requests.server_path import ServerPath
-from plantaingrade.sidecar.figures import Figures
+from plantaingrade.sidecar.metrics import Metrics
 
 
-class Watched(Struct, frozen=True):
-    """Parts of a process whose state is shown."""
+class GaugeSources(Struct, frozen=True):
+    """Parts of a process whose state is exposed as gauges."""
 
     queue: SlotQueue
     balance: BalanceCoordinator
@@ -22,33 +22,33 @@
     clock: Clock
 
 
-def watch(figures: Figures, parts: Watched) -> None:
-    """Show the state of a process beside what it counts."""
+def register_gauges(metrics: Metrics, parts: GaugeSources) -> None:
+    """Register the gauges of a process."""
     queue, registry, clock = parts.queue, parts.registry, parts.clock
-    show = figures.watch
-    show('slots_running', 'Requests at the server.', lambda: queue.running)
-    show('slots_waiting', 'Requests in the queue.', lambda: queue.waiting)
-    show(
+    register = metrics.register_gauge
+    register('slots_running', 'Requests at the server.', lambda: queue.running)
+    register('slots_waiting', 'Requests in the queue.', lambda: queue.waiting)
+    register(
         'load_share',
         'Work asked for, as a share of the slots.',
         lambda: parts.balance.load().share,
     )
-    show(
+    register(
         'server_cold',
         'Whether the server is cold, and gets less for it.',
         lambda: queue.cold.is_limited(clock.now()),
     )
-    show(
+    register(
         'server_evacuated',
         'Whether nothing goes to the server, as its zone is evacuated.',
         lambda: parts.server_path.is_evacuated,
     )
-    show(
+    register(
         'config_version',
         'Version of the configuration in force.',
         lambda: parts.config.version,
     )
-    show(
+    register(
         'lease_left_seconds',
         'Time left of the own lease.',
         lambda: registry.lease_until - clock.now(),
--- a/plantaingrade/sidecar/histogram.py
+++ b/plantaingrade/sidecar/histogram.py
@@ -1,4 +1,4 @@
-"""Counts of readings by fixed bounds. Pure."""
+"""Histogram with fixed upper bounds. Pure."""
 
 from bisect import bisect_left
 from collections.abc import Sequence
@@ -7,23 +7,23 @@
 
 
 class Histogram(Struct):
-    """How many readings lie up to each bound, and their sum."""
+    """Counts samples by upper bound and sums them."""
 
     bounds: Sequence[float]
     total: float = 0.0
     _counts: list[int] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        """Start with no readings; the last count is of those above all."""
+        """Start without samples; the last count is above all bounds."""
         self._counts = [0 for _ in (*self.bounds, None)]
 
-    def observe(self, reading: float) -> None:
-        """Count a reading; one that equals a bound lies up to it."""
-        self._counts[bisect_left(self.bounds, reading)] += 1
-        self.total += reading
+    def observe(self, sample: float) -> None:
+        """Count a sample; one that equals a bound counts under it."""
+        self._counts[bisect_left(self.bounds, sample)] += 1
+        self.total += sample
 
     def cumulative(self) -> list[tuple[str, float]]:
-        """Return for each bound how many readings lie up to it."""
+        """Return the number of samples up to each bound."""
         names = [*(str(bound) for bound in self.bounds), '+Inf']
         counted = 0
         buckets = []
--- a/plantaingrade/sidecar/figures.py
+++ b/plantaingrade/sidecar/metrics.py
@@ -14,37 +14,37 @@
 )
 from plantaingrade.sidecar.histogram import Histogram
 
-# Upper bounds in milliseconds, about even steps around the objectives of the
-# classes served, 60 to 1,000 ms.
+# Upper bounds in milliseconds, in about even steps around the latency
+# objectives of the request classes, 60 to 1,000 ms.
 DURATION_BOUNDS_MS = (5, 10, 20, 40, 60, 100, 150, 200, 300, 500, 1000, 2500)
 EXPOSITION = 'plantaingrade.sidecar.exposition'
-Read = Callable[[], float]
+ReadGauge = Callable[[], float]
 
 
-class Figures:
-    """Figures of one process, kept in plain sums until they are asked for.
+class Metrics:
+    """Metrics of one process, kept as plain numbers until they are scraped.
 
-    To add to a counter of a library takes 8.7 us, to a sum 0.3 us (thread time,
-    one core).
+    Incrementing a counter of a metrics library takes 8.7 us, a plain number
+    0.3 us (thread time, one core).
     """
 
     __slots__ = ('_count_by_kind', '_duration_by_labels', '_gauges')
 
     def __init__(self) -> None:
-        """Start with no figures."""
+        """Start without metrics."""
         self._count_by_kind: Counter[str] = Counter()
         self._duration_by_labels: dict[tuple[str, ...], Histogram] = {}
-        self._gauges: list[tuple[str, str, Read]] = []
+        self._gauges: list[tuple[str, str, ReadGauge]] = []
 
     def on_request(
         self, routed: RoutedRequest, outcome: Outcome, took_s: float
     ) -> None:
-        """Record one request of a caller."""
+        """Record the outcome and duration of one request of a caller."""
         labels = (
             routed.service,
             routed.kind,
             type(outcome).__name__,
-            _why(outcome),
+            _reason_of(outcome),
         )
         histogram = self._duration_by_labels.get(labels)
         if histogram is None:
@@ -56,12 +56,14 @@
         """Count one event."""
         self._count_by_kind[kind] += 1
 
-    def watch(self, name: str, description: str, read: Read) -> None:
-        """Show a figure that is read when it is asked for."""
+    def register_gauge(
+        self, name: str, description: str, read: ReadGauge
+    ) -> None:
+        """Register a gauge that is read at each scrape."""
         self._gauges.append((f'plantaingrade_{name}', description, read))
 
     def to_text(self) -> bytes:
-        """Return all figures in the text form of Prometheus."""
+        """Return all metrics in the text format of Prometheus."""
         exposition = import_module(EXPOSITION)
         gauges = tuple(
             exposition.Gauge(name, description, read())
@@ -73,7 +75,7 @@
         return exposition.to_text(snapshot)
 
 
-def _why(outcome: Outcome) -> str:
+def _reason_of(outcome: Outcome) -> str:
     match outcome:
         case Answered(answer):
             return str(answer.status)
--- a/plantaingrade/sidecar/pools.py
+++ b/plantaingrade/sidecar/pools.py
@@ -1,25 +1,25 @@
-"""The outgoing connections of one process."""
+"""Connection pools of one process."""
 
 from plantaingrade.clock import Clock
 from plantaingrade.http.pool import Pool
-from plantaingrade.sidecar.const import NEAR_CONNECT_TIMEOUT_S, PEER_TRUSTED_S
+from plantaingrade.sidecar.const import REGION_CONNECT_TIMEOUT_S, PEER_TRUSTED_S
 
 
 class Pools:
-    """One pool for each kind of other end, each with its own trust."""
+    """One pool per kind of remote end, each with its own timeouts."""
 
     __slots__ = ('orders', 'peers', 'server', 'store')
 
     def __init__(self, clock: Clock, source: str | None) -> None:
-        """Open nothing yet; connect from one local address, if given."""
+        """Create empty pools; connect from ``source`` if it is given."""
         self.server = Pool(
-            clock, source, connect_timeout_s=NEAR_CONNECT_TIMEOUT_S
+            clock, source, connect_timeout_s=REGION_CONNECT_TIMEOUT_S
         )
         self.peers = Pool(
             clock,
             source,
             is_probed=True,
-            connect_timeout_s=NEAR_CONNECT_TIMEOUT_S,
+            connect_timeout_s=REGION_CONNECT_TIMEOUT_S,
             trusted_s=PEER_TRUSTED_S,
         )
         self.store = Pool(clock, is_probed=True)
--- a/plantaingrade/sidecar/process.py
+++ b/plantaingrade/sidecar/process.py
@@ -1,4 +1,4 @@
-"""One process beside one backend server, from its start to its end."""
+"""The sidecar process of one backend server, from start to shutdown."""
 
 import asyncio
 import logging
@@ -35,65 +35,69 @@
 )
 from plantaingrade.requests.targets import TargetChooser
 from plantaingrade.sidecar.const import (
-    FINISH_PART,
-    FIRST_SLOTS,
+    FINISH_FRACTION,
+    INITIAL_SLOTS,
     INTERNAL_IDLE_S,
-    VERIFY_PAUSE_S,
+    CONFIG_POLL_S,
 )
-from plantaingrade.sidecar.control import Control
-from plantaingrade.sidecar.effects import ConfigEffects
-from plantaingrade.sidecar.figures import Figures
+from plantaingrade.sidecar.control import ControlHandler
+from plantaingrade.sidecar.config_applier import ConfigApplier
+from plantaingrade.sidecar.metrics import Metrics
 from plantaingrade.sidecar.endpoints import (
-    CallerFront,
-    MetricsFront,
-    PeerFront,
-    ReadyFront,
-    ReportFront,
+    CallerEndpoint,
+    MetricsEndpoint,
+    PeerEndpoint,
+    ReadinessEndpoint,
+    ReportEndpoint,
     refuse_malformed,
 )
-from plantaingrade.sidecar.gauges import Watched, watch
-from plantaingrade.sidecar.leaving import Leaving
+from plantaingrade.sidecar.gauges import GaugeSources, register_gauges
+from plantaingrade.sidecar.shutdown import GracefulShutdown
 from plantaingrade.sidecar.pools import Pools
-from plantaingrade.sidecar.retreat import Retreat
-from plantaingrade.sidecar.server_watch import LifeHooks, OwnServer, ServerWatch
-from plantaingrade.sidecar.settings import InstanceSettings, OwnOptions
+from plantaingrade.sidecar.evacuation import ServerEvacuation
+from plantaingrade.sidecar.server_watch import (
+    IncarnationHooks,
+    OwnServer,
+    ServerWatch,
+)
+from plantaingrade.sidecar.settings import InstanceSettings, ProcessOptions
 from plantaingrade.sidecar.adapter import PlatformAdapter
 from plantaingrade.store.relay import RelayHandler, RelayedStore
 
 BOOT_BYTES = 4
 _LOGGER = logging.getLogger(__name__)
-DEFAULT_OPTIONS = OwnOptions()
+DEFAULT_OPTIONS = ProcessOptions()
 
 
 class Process:
-    """Everything that one process is made of."""
+    """Creates, connects, starts and stops all parts of a process."""
 
     def __init__(
         self,
         settings: InstanceSettings,
-        wire: PlatformAdapter,
+        adapter: PlatformAdapter,
         clock: Clock,
         log: EventLog,
-        options: OwnOptions = DEFAULT_OPTIONS,
+        options: ProcessOptions = DEFAULT_OPTIONS,
     ) -> None:
-        """Join the parts; open nothing yet."""
+        """Create and connect the parts without opening any socket."""
         self._options = options
         self._settings = settings
-        self._wire = wire
+        self._adapter = adapter
         self._clock = clock
         self._log = log
         self._tasks: set[asyncio.Task[None]] = set()
         self._servers: list[HttpServer] = []
-        self._is_leaving = False
+        self._is_shutting_down = False
         self._build_state()
         self._build_paths()
-        self._build_fronts()
+        self._build_endpoints()
 
     async def __aenter__(self) -> 'Process':
-        """Listen, and start to follow the platform."""
+        """Open the listeners and start the background tasks."""
         await self._async_listen()
         self._start(self._config.async_run())
-        self._start(self._async_take_part())
+        self._start(self._async_join())
         return self
 
     async def __aexit__(
@@ -102,9 +106,9 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Stop everything that was started."""
-        self._watch.stop()
-        self._retreat.stop()
+        """Stop all tasks and close all connections."""
+        self._server_watch.stop()
+        self._server_evacuation.stop()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -116,21 +120,21 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether this process takes work of callers."""
-        if self._is_leaving or self._config.config is None:
+        """Return whether this process accepts requests of callers."""
+        if self._is_shutting_down or self._config.config is None:
             return False
         return self._peers.has_joined
 
-    async def async_leave(self) -> None:
-        """Leave within the platform's grace."""
-        self._is_leaving = True
+    async def async_shut_down(self) -> None:
+        """Shut down within the platform's grace period."""
+        self._is_shutting_down = True
         for server in self._servers:
             server.end_connections()
-        await self._leaving.async_run()
+        await self._shutdown.async_run()
 
     @property
     def config_version(self) -> int:
-        """Return the version of the configuration in force."""
+        """Return the version of the active configuration."""
         return self._config.version
 
     @property
@@ -140,7 +144,8 @@
 
     def _build_state(self) -> None:
         settings = self._settings
-        # An address may pass to an instance of another service.
+        # An address may be reused by an instance of another service, so the
+        # member name includes the service.
         self._own = Member(
             f'{settings.service}@{settings.ip}',
             settings.service,
@@ -150,20 +155,22 @@
         )
         source = settings.ip if self._options.binds_source else None
         self._pools = Pools(self._clock, source)
-        self._direct_store = self._wire.make_store(self._pools.store)
+        self._direct_store = self._adapter.make_store(self._pools.store)
         self._direct_store.epochs.listen(self._on_store_epoch)
-        self._orders = self._wire.make_orders(self._pools.orders)
+        self._orders = self._adapter.make_orders(self._pools.orders)
         self._maps = KeyMaps()
         self._directory = Directory()
-        self._figures = Figures()
-        self._log.count_by(self._figures.on_event)
+        self._metrics = Metrics()
+        self._log.count_by(self._metrics.on_event)
         self._loads = PeerLoads()
-        self._life = IncarnationTracker(settings.bounds.drain_s * FINISH_PART)
+        self._tracker = IncarnationTracker(
+            settings.bounds.drain_s * FINISH_FRACTION
+        )
         self._config = ConfigFollower(
             self._direct_store,
-            self._wire.config_table,
-            self._wire.config_key,
-            self._wire.decode_config,
+            self._adapter.config_table,
+            self._adapter.config_key,
+            self._adapter.decode_config,
             self._log,
             lambda: self._calls.async_ask_config(),
             lambda: len(self._directory.members()),
@@ -186,7 +193,7 @@
             self._loads,
             PeerHooks(
                 self._service_names,
-                lambda wish: self._operators.follow(wish),
+                lambda desired: self._operators.follow(desired),
                 lambda digests: self._server_path.record_crash(digests),
                 lambda kind, priority: self._server_path.free_capacity(
                     kind, priority
@@ -204,7 +211,7 @@
             store,
             self._maps,
             self._own,
-            self._life,
+            self._tracker,
             self._orders,
             self._clock,
             self._log,
@@ -212,15 +219,15 @@
             starts_with_all=settings.starts_with_all,
         )
         self._maps.listen(lambda service, _: self.holds.on_map(service))
-        self._evacuations = Evacuations(self._wire.evacuation_prefix)
+        self._evacuations = Evacuations(self._adapter.evacuation_prefix)
         self._config.listen_rows(self._evacuations.take)
 
     def _build_paths(self) -> None:
-        self._gate = Gate.from_slots(FIRST_SLOTS, self._clock)
+        self._gate = Gate.from_slots(INITIAL_SLOTS, self._clock)
         self._balance = BalanceCoordinator(
             self._own,
             self.holds,
-            self._life,
+            self._tracker,
             self._gate.queue,
             ServicePeers(
                 self._own, self.holds.registry, self._directory, self._loads
@@ -230,14 +237,14 @@
             self._clock,
             self._log,
         )
-        server_wire = ServerCodec(
+        server_codec = ServerCodec(
             self._settings.backend,
-            self._wire.encode_to_server,
-            self._wire.decode_reply,
+            self._adapter.encode_to_server,
+            self._adapter.decode_reply,
         )
         self._server_path = ServerPath(
-            server_wire,
-            self._life,
+            server_codec,
+            self._tracker,
             self.holds,
             self._gate,
             self._pools.server,
@@ -245,7 +252,7 @@
             self._log,
             ServerHooks(
                 self._is_keyed,
-                lambda instance: self._watch.verify(instance),
+                lambda instance: self._server_watch.verify(instance),
                 self._balance.observe,
                 self._peers.announce_crash,
             ),
@@ -255,7 +262,7 @@
             self._loads,
             self._pools.peers,
             self._clock,
-            self._known,
+            self._known_versions,
             self._log,
         )
         targets = TargetChooser(
@@ -281,16 +288,16 @@
             ),
             self._clock,
             self._log,
-            self._figures.on_request,
+            self._metrics.on_request,
         )
 
-    def _build_fronts(self) -> None:
-        self._watch = ServerWatch(
+    def _build_endpoints(self) -> None:
+        self._server_watch = ServerWatch(
             OwnServer(self._own.service, self._settings.backend),
-            self._life,
+            self._tracker,
             self._orders,
-            LifeHooks(
-                self._on_new_life,
+            IncarnationHooks(
+                self._on_new_incarnation,
                 self._balance.leave,
                 self._gate.resize,
                 self._gate.queue.cold.mark_cold_until,
@@ -299,20 +306,20 @@
             self._clock,
             self._log,
         )
-        self._retreat = Retreat(
+        self._server_evacuation = ServerEvacuation(
             self._server_path,
             self._balance,
-            self._watch.async_ask,
-            lambda: self._life.accepts_work and not self._is_leaving,
+            self._server_watch.async_identify,
+            lambda: self._tracker.accepts_work and not self._is_shutting_down,
             self._own.zone,
             self._settings.bounds.evacuate_s,
             self._log,
         )
-        self._evacuations.listen(self._retreat.on_evacuations)
-        self._caller_front = CallerFront(
+        self._evacuations.listen(self._server_evacuation.on_evacuations)
+        self._caller_endpoint = CallerEndpoint(
             self._requests,
-            self._wire.decode_request,
-            self._wire.answer_headers,
+            self._adapter.decode_request,
+            self._adapter.answer_headers,
             self._clock,
         )
         self._operators = OperatorDesk(
@@ -326,13 +333,13 @@
             self._direct_store,
             self._clock,
         )
-        self._operators.apply_by(self._retreat.on_wish)
-        self._operators.show_life_by(lambda: self._life.present)
-        self._peer_front = PeerFront(
+        self._operators.apply_by(self._server_evacuation.on_desired_state)
+        self._operators.show_life_by(lambda: self._tracker.current)
+        self._peer_endpoint = PeerEndpoint(
             self._settings.service,
             self._server_path,
             self._clock,
-            Control(
+            ControlHandler(
                 self._peers,
                 self.holds,
                 self._balance,
@@ -343,14 +350,14 @@
             self._balance.load,
             self._on_known,
         )
-        self._ready_front = ReadyFront(lambda: self.is_ready)
-        self._report_front = ReportFront(
-            self._wire.decode_report, self._watch.on_report, self._log
+        self._readiness_endpoint = ReadinessEndpoint(lambda: self.is_ready)
+        self._report_endpoint = ReportEndpoint(
+            self._adapter.decode_report, self._server_watch.on_report, self._log
         )
-        self._metrics_front = MetricsFront(self._figures.to_text)
-        watch(
-            self._figures,
-            Watched(
+        self._metrics_endpoint = MetricsEndpoint(self._metrics.to_text)
+        register_gauges(
+            self._metrics,
+            GaugeSources(
                 self._gate.queue,
                 self._balance,
                 self._config,
@@ -359,12 +366,12 @@
                 self._clock,
             ),
         )
-        self._leaving = Leaving(
+        self._shutdown = GracefulShutdown(
             self.holds,
             self._balance,
             self._peers,
             self._server_path,
-            self._caller_front,
+            self._caller_endpoint,
             self._settings.bounds.stop_grace_s,
             lambda: self.busy,
             self._clock,
@@ -374,22 +381,22 @@
     async def _async_listen(self) -> None:
         listeners = self._settings.listeners
         self._caller_server = await self._async_serve(
-            listeners.callers, self._caller_front.async_handle
+            listeners.callers, self._caller_endpoint.async_handle
         )
-        effects = ConfigEffects(
+        applier = ConfigApplier(
             self._own.service,
             self._settings.bounds,
             self._caller_server,
-            self._caller_front,
+            self._caller_endpoint,
             self._gate.queue.cold,
         )
-        self._config.listen(effects.apply)
+        self._config.listen(applier.apply)
         peers_bind = self._options.peers_bind or listeners.peers
         serve_by_address = {
-            peers_bind: self._peer_front.async_handle,
-            listeners.ready: self._ready_front.async_handle,
-            listeners.reports: self._report_front.async_handle,
-            listeners.metrics: self._metrics_front.async_handle,
+            peers_bind: self._peer_endpoint.async_handle,
+            listeners.ready: self._readiness_endpoint.async_handle,
+            listeners.reports: self._report_endpoint.async_handle,
+            listeners.metrics: self._metrics_endpoint.async_handle,
         }
         for address, serve in serve_by_address.items():
             await self._async_serve(address, serve)
@@ -408,21 +415,21 @@
     def _start(self, work) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._note_end)
+        task.add_done_callback(self._on_task_done)
 
-    def _note_end(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            _LOGGER.error('A task failed', exc_info=task.exception())
+            _LOGGER.error('Background task failed', exc_info=task.exception())
 
-    async def _async_take_part(self) -> None:
-        """Join once a configuration is known, and stay joined."""
+    async def _async_join(self) -> None:
+        """Join once a configuration is known, and stay a member."""
         while self._config.config is None:
-            await asyncio.sleep(VERIFY_PAUSE_S)
+            await asyncio.sleep(CONFIG_POLL_S)
         service = self._config.config.service_by_name.get(self._own.service)
         is_keyed = service is not None and service.is_keyed
-        if service is not None and not self._life.instance:
-            await self._watch.async_ask()
+        if service is not None and not self._tracker.instance:
+            await self._server_watch.async_identify()
         if is_keyed:
             self._start(self.holds.async_run())
             self._start(self._balance.async_run())
@@ -435,7 +442,7 @@
         service = self._config.config.service_by_name.get(self._own.service)
         return service is not None and service.is_keyed
 
-    def _known(self, service: str) -> KnownVersions:
+    def _known_versions(self, service: str) -> KnownVersions:
         return KnownVersions(
             self._config.version, self._maps.find(service).version
         )
@@ -454,14 +461,14 @@
             return []
         return sorted(self._config.config.service_by_name)
 
-    def _on_new_life(self) -> None:
-        """Forget the life before; take keys again unless told to stop.
+    def _on_new_incarnation(self) -> None:
+        """Discard the previous incarnation's state and acquire keys again.
 
-        A process that is about to end takes no keys for it.
+        A process that is shutting down acquires none.
         """
         self._server_path.on_new_incarnation()
         self.holds.on_new_incarnation()
-        if not self._is_leaving:
+        if not self._is_shutting_down:
             self._balance.resume()
 
     def _on_store_epoch(self, epoch: int, before: int | None) -> None:
--- a/plantaingrade/sidecar/run.py
+++ b/plantaingrade/sidecar/run.py
@@ -1,4 +1,4 @@
-"""Run one process until it is told to stop."""
+"""Run one process until it receives a signal to stop."""
 
 import asyncio
 import os
@@ -14,14 +14,14 @@
 from plantaingrade.sidecar.settings import (
     InstanceSettings,
     InstanceSettingsError,
-    OwnOptions,
+    ProcessOptions,
 )
 
 EXIT_BAD_SETTINGS = 2
 
 
-def run(options: OwnOptions) -> None:
-    """Run beside a backend server, as the platform's settings file says."""
+def run(options: ProcessOptions) -> None:
+    """Run beside a backend server with the platform's settings file."""
     clock = BootClock()
     path = os.environ.get(ENV_SETTINGS, '')
     try:
@@ -36,7 +36,7 @@
 
 async def _async_run(
     settings: InstanceSettings,
-    options: OwnOptions,
+    options: ProcessOptions,
     clock: BootClock,
     log: EventLog,
 ) -> None:
@@ -47,7 +47,7 @@
     log.write(
         'started', service=settings.service, zone=settings.zone, pid=os.getpid()
     )
-    wire = make_wire(settings, clock)
-    async with Process(settings, wire, clock, log, options) as process:
+    adapter = make_wire(settings, clock)
+    async with Process(settings, adapter, clock, log, options) as process:
         await stop.wait()
-        await process.async_leave()
+        await process.async_shut_down()
--- a/plantaingrade/sidecar/server_watch.py
+++ b/plantaingrade/sidecar/server_watch.py
@@ -1,4 +1,4 @@
-"""Follow the backend server beside this process through its lives."""
+"""Monitor the incarnations of the local backend server."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,20 +14,20 @@
 from plantaingrade.config.coordinator import ConfigFollower
 from plantaingrade.eventlog import EventLog
 from plantaingrade.holds.orders import ServerOrders
-from plantaingrade.sidecar.const import FIRST_SLOTS
+from plantaingrade.sidecar.const import INITIAL_SLOTS
 
 
 class OwnServer(Struct, frozen=True):
-    """The server beside this process, as the settings name it."""
+    """The local backend server as given in the settings."""
 
     service: str
     address: str
 
-    def is_named_by(self, heartbeat: Heartbeat) -> bool:
-        """Tell whether a heartbeat is of this server.
+    def matches(self, heartbeat: Heartbeat) -> bool:
+        """Return whether a heartbeat is from this server.
 
-        Another writer may send them, or a server that was started at another
-        address.
+        Another program may send heartbeats, or a server that was started at
+        another address.
         """
         return (
             heartbeat.service == self.service
@@ -35,88 +35,89 @@
         )
 
 
-class LifeHooks(Struct, frozen=True):
-    """What is told of the server's lives.
+class IncarnationHooks(Struct, frozen=True):
+    """Callbacks for changes of the server.
 
-    ``on_new_life`` is told of each new one, ``on_leaving`` that the present
-    one leaves, ``on_slots`` how many slots it has, with each report, and
-    ``on_cold`` until when it is cold, whenever it says so.
+    ``on_new_incarnation`` is called for each new incarnation, ``on_leaving``
+    when the current one starts to drain, ``on_slots`` with its number of slots
+    after each report, and ``on_cold`` with the time until which it is cold,
+    whenever it reports one.
     """
 
-    on_new_life: Callable[[], None]
+    on_new_incarnation: Callable[[], None]
     on_leaving: Callable[[], None]
     on_slots: Callable[[int], None]
     on_cold: Callable[[float], None]
 
 
 class ServerWatch:
-    """Act on heartbeats, and ask the server who it is when in doubt."""
+    """Acts on heartbeats, and asks the server for its id when it is unclear."""
 
     __slots__ = (
         '_clock',
         '_config',
         '_hooks',
-        '_life',
+        '_tracker',
         '_log',
         '_orders',
         '_server',
-        '_verifying',
+        '_verify_task',
     )
 
     def __init__(
         self,
         server: OwnServer,
-        incarnation: IncarnationTracker,
+        tracker: IncarnationTracker,
         orders: ServerOrders,
-        hooks: LifeHooks,
+        hooks: IncarnationHooks,
         config: ConfigFollower,
         clock: Clock,
         log: EventLog,
     ) -> None:
-        """Follow one server."""
+        """Monitor one server."""
         self._server = server
-        self._life = incarnation
+        self._tracker = tracker
         self._orders = orders
         self._hooks = hooks
         self._config = config
         self._clock = clock
         self._log = log
-        self._verifying: asyncio.Task[None] | None = None
+        self._verify_task: asyncio.Task[None] | None = None
 
     def on_report(self, report: Heartbeat | Farewell) -> bool:
-        """Take what the server reports; tell whether it was of this server."""
+        """Apply a report; return whether it was from this server."""
         now = self._clock.now()
         match report:
             case Heartbeat():
-                if not self._server.is_named_by(report):
+                if not self._server.matches(report):
                     return False
-                self._follow(self._life.on_heartbeat(report, now))
-                self._hooks.on_cold(self._life.cold_until)
+                self._apply(self._tracker.on_heartbeat(report, now))
+                self._hooks.on_cold(self._tracker.cold_until)
             case Farewell(incarnation):
                 self._log.write(
                     'server-farewell',
                     instance=incarnation.instance,
                     born=incarnation.born_ms,
                 )
-                self._follow(self._life.on_farewell(report, now))
-        if self._life.slots:
-            self._hooks.on_slots(self._life.slots)
+                self._apply(self._tracker.on_farewell(report, now))
+        if self._tracker.slots:
+            self._hooks.on_slots(self._tracker.slots)
         return True
 
     def verify(self, instance: str) -> None:
-        """Ask the server which life it is, once at a time."""
-        if self._verifying is not None and not self._verifying.done():
+        """Ask the server for its id, unless that is already under way."""
+        if self._verify_task is not None and not self._verify_task.done():
             return
         self._log.write(
             'server-life-doubted',
-            known=self._life.instance,
+            known=self._tracker.instance,
             named=instance,
         )
         loop = asyncio.get_running_loop()
-        self._verifying = loop.create_task(self.async_ask())
+        self._verify_task = loop.create_task(self.async_identify())
 
-    async def async_ask(self) -> None:
-        """Ask the server who it is, rather than wait for a heartbeat."""
+    async def async_identify(self) -> None:
+        """Ask the server for its id instead of waiting for a heartbeat."""
         config = self._config.config
         service = config and config.service_by_name.get(self._server.service)
         if not service:
@@ -126,28 +127,28 @@
             return
         now = self._clock.now()
         if presence.cold_s is not None:
-            # Told first: with a new life, work may go to it at once.
+            # Called first, as a new incarnation may get work at once.
             self._hooks.on_cold(now + presence.cold_s)
-        self._follow(self._life.on_identified(presence.instance, now))
+        self._apply(self._tracker.on_identified(presence.instance, now))
 
     def stop(self) -> None:
-        """Stop asking."""
-        if self._verifying is not None:
-            self._verifying.cancel()
-
-    def _follow(self, change: IncarnationChange) -> None:
-        if change.is_new_life:
-            self._log_life('server-life')
-            self._hooks.on_slots(self._life.slots or FIRST_SLOTS)
-            self._hooks.on_new_life()
+        """Cancel a request for the id that is under way."""
+        if self._verify_task is not None:
+            self._verify_task.cancel()
+
+    def _apply(self, change: IncarnationChange) -> None:
+        if change.is_new_incarnation:
+            self._log_incarnation('server-life')
+            self._hooks.on_slots(self._tracker.slots or INITIAL_SLOTS)
+            self._hooks.on_new_incarnation()
         if change.is_leaving:
-            self._log_life('server-leaves')
+            self._log_incarnation('server-leaves')
             self._hooks.on_leaving()
         if change.must_verify:
             self.verify(change.must_verify)
 
-    def _log_life(self, event: str) -> None:
-        incarnation = self._life.present
+    def _log_incarnation(self, event: str) -> None:
+        incarnation = self._tracker.current
         self._log.write(
             event, instance=incarnation.instance, born=incarnation.born_ms
         )
--- a/plantaingrade/sidecar/settings.py
+++ b/plantaingrade/sidecar/settings.py
@@ -1,4 +1,4 @@
-"""Typed settings of one process, as the rest of the product uses them."""
+"""Settings of one process, independent of the platform's format."""
 
 from msgspec import Struct
 
@@ -6,12 +6,12 @@
 
 
 class InstanceSettingsError(PlantaingradeError):
-    """Report every setting that cannot be used."""
+    """Raised with all invalid settings of a file."""
 
     advice = 'Correct the fields named in the settings file.'
 
     def __init__(self, mistakes: list[str]) -> None:
-        """Keep the mistakes."""
+        """Store the messages, one per invalid setting."""
         self.mistakes = mistakes
         super().__init__('; '.join(mistakes))
 
@@ -19,10 +19,10 @@
 class Listeners(Struct, frozen=True):
     """Addresses, ``ip:port``, on which this process listens.
 
-    ``callers`` takes requests of this instance's callers, ``peers`` takes
-    requests and datagrams of other processes, ``ready`` answers whether this
-    process takes work, ``reports`` takes heartbeats of the backend server and
-    ``metrics`` serves figures.
+    ``callers`` receives requests of this instance's callers, ``peers`` requests
+    and datagrams of other processes, and ``reports`` heartbeats of the backend
+    server; ``ready`` answers whether this process accepts work, and
+    ``metrics`` serves metrics.
     """
 
     callers: str
@@ -32,16 +32,16 @@
     metrics: str
 
 
-# Variables that set an option begin so.
+# Prefix of the environment variables that set options.
 ENV_PREFIX = 'PLANTAINGRADE_SIDECAR'
 
 
-class OwnOptions(Struct, frozen=True):
-    """What the operator of a process may set beside the platform's file.
+class ProcessOptions(Struct, frozen=True):
+    """Options of a process that are not in the platform's settings file.
 
-    ``peers_bind`` is where the listener for peers is bound, if a relay stands
-    at the address that others know. With ``binds_source`` connections to
-    peers start from the address of this instance, whatever route they take.
+    ``peers_bind`` is the address of the listener for peers, if a proxy listens
+    at the advertised address. With ``binds_source`` connections to peers use
+    the address of this instance as their source, whatever route they take.
     """
 
     peers_bind: str = ''
@@ -49,7 +49,7 @@
 
 
 class Bounds(Struct, frozen=True):
-    """Times, in seconds, and figures that the platform promises or demands."""
+    """Times, in seconds, and limits that the platform sets or guarantees."""
 
     drain_s: float
     stop_grace_s: float
@@ -59,20 +59,21 @@
     retry_ratio: float
     retry_window_s: float
     retry_slack: float
-    # A cold server may get its tolerated requests a second times the first
-    # figure, and the second one more.
+    # A cold server may get ``cold_overage`` times the rate of requests that it
+    # tolerates, plus ``cold_slack`` requests.
     cold_overage: float = 1.0
     cold_slack: float = 0.0
-    # Time from an operator's word until nothing goes to the servers of a zone.
+    # Time from an operator's request to evacuate a zone until its servers must
+    # get no more work.
     evacuate_s: float = 0.0
 
 
 class InstanceSettings(Struct, frozen=True):
-    """What a process is told when it starts.
+    """Settings that a process reads when it starts.
 
-    ``backend`` is the address of the backend server beside this process and
-    ``service`` the service it belongs to. A process that ``starts_with_all``
-    does so when the whole system starts for the first time.
+    ``backend`` is the address of the local backend server and ``service`` the
+    service it belongs to. ``starts_with_all`` is set for a process that starts
+    when the whole system starts for the first time.
     """
 
     name: str
--- a/plantaingrade/sidecar/leaving.py
+++ b/plantaingrade/sidecar/shutdown.py
@@ -1,4 +1,4 @@
-"""Stop a process without harm to anyone."""
+"""Shut down a process without failing requests."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,20 +10,21 @@
 from plantaingrade.peers.coordinator import PeerCoordinator
 from plantaingrade.requests.server_path import ServerPath
 from plantaingrade.sidecar.const import (
-    EVACUATE_LIMIT_S,
+    HANDOVER_LIMIT_S,
     FINISH_S,
     GRACE_RESERVE_S,
     LINGER_S,
-    STOP_CHECK_S,
+    SHUTDOWN_POLL_S,
 )
-from plantaingrade.sidecar.endpoints import CallerFront
+from plantaingrade.sidecar.endpoints import CallerEndpoint
 
 
-class Leaving:
-    """Hand everything over, then refuse, then wait for what runs.
+class GracefulShutdown:
+    """Transfers all keys, then refuses requests, then awaits running ones.
 
-    Each step has its time, whatever became of the one before: the platform ends
-    the process when the grace is over, in the middle of what it still serves.
+    Each step has its own time limit, even if the previous step failed: the
+    platform kills the process at the end of the grace period, in the middle of
+    any request that still runs.
     """
 
     __slots__ = (
@@ -44,13 +45,13 @@
         balance: BalanceCoordinator,
         peers: PeerCoordinator,
         server_path: ServerPath,
-        callers: CallerFront,
+        callers: CallerEndpoint,
         stop_grace_s: float,
         busy: Callable[[], int],
         clock: Clock,
         log: EventLog,
     ) -> None:
-        """Know the parts; ``busy`` counts the requests being served."""
+        """Use these parts; ``busy`` returns the number of running requests."""
         self._holds = holds
         self._balance = balance
         self._peers = peers
@@ -62,11 +63,11 @@
         self._log = log
 
     async def async_run(self) -> None:
-        """Take all steps, within the platform's grace."""
+        """Run all steps within the platform's grace period."""
         began = self._clock.now()
         self._log.write('leaving', owns_keys=self._holds.owns_keys)
         self._balance.leave()
-        await self._async_wait(began + EVACUATE_LIMIT_S, self._owns_nothing)
+        await self._async_wait(began + HANDOVER_LIMIT_S, self._owns_no_keys)
         removal = self._start_removal()
         await self._async_wait(began + LINGER_S, _never)
         self._callers.is_closed = True
@@ -76,28 +77,28 @@
         self._log.write('stopped', busy=self._busy())
 
     def _start_removal(self) -> asyncio.Task[None] | None:
-        """Remove this member's row, if nothing is owned any more."""
+        """Start to remove this member's row if it owns no keys any more."""
         if self._holds.owns_keys:
             return None
-        self._refuse_peers()
+        self._stop_serving_peers()
         loop = asyncio.get_running_loop()
         return loop.create_task(self._async_remove())
 
     async def _async_remove(self) -> None:
-        """Remove the row; a member has one of the two kinds."""
+        """Remove the row, which is of one of the two kinds of member."""
         await self._holds.registry.async_leave()
         await self._peers.async_deregister()
 
     async def _async_finish(self, end: float) -> None:
-        """Serve what this process still owns, then finish what runs."""
-        await self._async_wait(end - FINISH_S, self._owns_nothing)
-        self._refuse_peers()
+        """Serve keys still owned, then wait for running requests."""
+        await self._async_wait(end - FINISH_S, self._owns_no_keys)
+        self._stop_serving_peers()
         await self._async_wait(end, lambda: not self._busy())
 
-    def _owns_nothing(self) -> bool:
+    def _owns_no_keys(self) -> bool:
         return not self._holds.owns_keys
 
-    def _refuse_peers(self) -> None:
+    def _stop_serving_peers(self) -> None:
         if not self._server_path.is_closed:
             self._server_path.is_closed = True
             self._peers.say_goodbye()
@@ -106,7 +107,7 @@
         self, ends: float, is_done: Callable[[], bool]
     ) -> None:
         while self._clock.now() < ends and not is_done():
-            await asyncio.sleep(STOP_CHECK_S)
+            await asyncio.sleep(SHUTDOWN_POLL_S)
 
 
 def _never() -> bool:
--- a/tests/backends/test_backends.py
+++ b/tests/backends/test_backends.py
@@ -1,4 +1,4 @@
-"""Dialects of vendors, and how far their reports are trusted."""
+"""Dialects of vendors, and the state derived from their reports."""
 
 import pytest
 
@@ -13,7 +13,7 @@
     Shed,
     StatusDialect,
     TextDialect,
-    Verdict,
+    ResponseKind,
 )
 
 READY = Report(BackendState.READY, 1, 6)
@@ -26,8 +26,8 @@
         (TextDialect(), b'OK load=1/6\n'),
     ],
 )
-def test_dialects_say_the_same(dialect: Dialect, body: bytes) -> None:
-    """Two vendors' reports come out in one form."""
+def test_dialects_return_the_same_report(dialect: Dialect, body: bytes) -> None:
+    """Reports of two vendors are read into the same form."""
     assert read_report(dialect, body) == READY
 
 
@@ -36,14 +36,14 @@
     'body',
     [b'', b'[]', b'{"state": "fine"}', b'OK load=x/6', b'GREAT load=1/6'],
 )
-def test_nonsense_is_no_report(dialect: Dialect, body: bytes) -> None:
-    """A server reports something nobody understands."""
+def test_malformed_report_is_rejected(dialect: Dialect, body: bytes) -> None:
+    """A server sends a report that is not of its dialect."""
     with pytest.raises(ValueError, match=r'report|line|Expecting'):
         read_report(dialect, body)
 
 
 @pytest.mark.parametrize(
-    ('dialect', 'status', 'headers', 'verdict'),
+    ('dialect', 'status', 'headers', 'kind'),
     [
         (StatusDialect(), 200, {}, Ran()),
         (StatusDialect(), 503, {}, Ran()),
@@ -60,26 +60,26 @@
     dialect: Dialect,
     status: int,
     headers: dict[bytes, bytes],
-    verdict: Verdict,
+    kind: ResponseKind,
 ) -> None:
-    """A caller is told "not run" only if the dialect proves it."""
-    assert classify_response(dialect, status, headers) == verdict
+    """An answer counts as not run only where the dialect proves it."""
+    assert classify_response(dialect, status, headers) == kind
 
 
 def _backend() -> BackendCoordinator:
     return BackendCoordinator(None, '127.0.0.1:1', StatusDialect())
 
 
-def test_one_missed_poll_is_not_a_dead_server() -> None:
-    """One connection went silent; the server is fine."""
+def test_one_missed_poll_does_not_mark_server_down() -> None:
+    """One connection is dead, but the server is healthy."""
     backend = _backend()
     backend.on_report(READY)
     backend.on_miss()
     assert backend.state is BackendState.READY
 
 
-def test_frozen_server_that_returns_is_not_trusted_at_once() -> None:
-    """A server freezes, returns as if nothing had happened, claims ready."""
+def test_thawed_server_needs_two_ready_reports() -> None:
+    """A frozen server continues and reports ready before it is usable."""
     backend = _backend()
     backend.on_report(READY)
     backend.on_miss()
@@ -91,8 +91,8 @@
     assert backend.state is BackendState.READY
 
 
-def test_refused_connection_is_a_dead_server() -> None:
-    """Nobody listens there any more; no second look is needed."""
+def test_refused_connection_marks_server_down() -> None:
+    """Nothing listens at the address, so no second poll is needed."""
     backend = _backend()
     backend.on_report(READY)
     backend.on_refused()
--- a/tests/sidecar/harness.py
+++ b/tests/sidecar/harness.py
@@ -1,4 +1,4 @@
-"""Whole processes in one event loop, with stand-ins for the platform."""
+"""Harness that runs whole processes in one event loop, with a fake platform."""
 
 import asyncio
 import json
@@ -24,7 +24,7 @@
 from standins.shared_store import SharedStore
 
 WAIT_LIMIT_S = 20.0
-LOOK_S = 0.01
+POLL_S = 0.01
 STORE_PORT = 18_142
 KEYED = 'cases'
 PLAIN = 'letters'
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class Node:
-    """One instance: its process and its backend server."""
+    """One instance: its sidecar process and its backend server."""
 
     settings: InstanceSettings
     plan: ServerPlan
@@ -43,7 +43,7 @@
 
     @property
     def callers(self) -> str:
-        """Return where callers on this instance send requests."""
+        """Return the address for requests of callers on this instance."""
         return self.settings.listeners.callers
 
 
@@ -57,8 +57,8 @@
         self.store = SharedStore(self.clock)
         self.nodes: list[Node] = []
         self._net = net
-        # The callers here share one loop with all that they ask, and a busy
-        # machine turns it slowly; their own patience is not what is tested.
+        # The callers share one event loop with the processes, which is slow on
+        # a busy machine, and the timeouts of callers are not under test.
         self._pool = Pool(self.clock, connect_timeout_s=WAIT_LIMIT_S)
         self._stack = AsyncExitStack()
         self._seed = 0
@@ -66,27 +66,27 @@
         self._log = EventLog('rig', self.clock, _null())
 
     async def __aenter__(self) -> 'Harness':
-        """Start the store with a first configuration."""
+        """Start the store with an initial configuration."""
         await self.store.async_listen(self.store_address)
         self.configure(1)
         return self
 
     async def __aexit__(self, *_: object) -> None:
         """Stop everything."""
-        for place in self.nodes:
-            await self.async_kill(place)
-            if place.server is not None:
-                await place.server.async_crash()
+        for node in self.nodes:
+            await self.async_kill(node)
+            if node.server is not None:
+                await node.server.async_crash()
         self._pool.close()
         await self.store.async_close()
 
     @property
     def store_address(self) -> str:
-        """Return where the store listens."""
+        """Return the address of the store."""
         return f'127.{self._net}.255.1:{STORE_PORT}'
 
     def configure(self, version: int, **routes: dict) -> None:
-        """Put a configuration in force."""
+        """Write a configuration to the store."""
         every = {
             'keyed': _route('/cases/', KEYED, 'unsafe'),
             'read': _route('/read/', KEYED, 'safe'),
@@ -113,7 +113,7 @@
     async def async_add(
         self, service: str, *, host: int | None = None, zone: str = 'a'
     ) -> Node:
-        """Add an instance with its server and its process."""
+        """Add an instance and start its server and its process."""
         number = host or len(self.nodes) + 1
         settings = _settings(
             f'127.{self._net}.0.{number}', zone, service, self.store_address
@@ -127,41 +127,39 @@
             settings.listeners.reports,
             is_keyed=service == KEYED,
         )
-        place = Node(settings, plan)
-        self.nodes.append(place)
-        await self.async_start_server(place)
-        await self.async_start(place)
-        return place
+        node = Node(settings, plan)
+        self.nodes.append(node)
+        await self.async_start_server(node)
+        await self.async_start(node)
+        return node
 
     async def async_start_server(
-        self, place: Node, life: Life | None = None
+        self, node: Node, life: Life | None = None
     ) -> None:
-        """Start a new life of a place's server, as given or as a new one."""
+        """Start a new incarnation of a server, by default under a new id."""
         self._seed += 1
-        place.server = KeyedServer(
-            place.plan, self.record, self.clock, self._seed, life
+        node.server = KeyedServer(
+            node.plan, self.record, self.clock, self._seed, life
         )
-        await place.server.async_start()
-
-    async def async_start(self, place: Node) -> None:
-        """Start a new run of a place's process."""
-        settings = replace(
-            place.settings, starts_with_all=not place.has_started
-        )
-        place.has_started = True
-        wire = make_wire(settings, self.clock)
-        place.process = Process(settings, wire, self.clock, self._log)
-        await place.process.__aenter__()
-
-    async def async_kill(self, place: Node) -> None:
-        """End a place's process at once."""
-        if place.process is not None:
-            await place.process.__aexit__(None, None, None)
-            place.process = None
+        await node.server.async_start()
+
+    async def async_start(self, node: Node) -> None:
+        """Start the sidecar process of a node."""
+        settings = replace(node.settings, starts_with_all=not node.has_started)
+        node.has_started = True
+        adapter = make_wire(settings, self.clock)
+        node.process = Process(settings, adapter, self.clock, self._log)
+        await node.process.__aenter__()
+
+    async def async_kill(self, node: Node) -> None:
+        """Stop the sidecar process of a node without a graceful shutdown."""
+        if node.process is not None:
+            await node.process.__aexit__(None, None, None)
+            node.process = None
 
     async def async_ask(
         self,
-        place: Node,
+        node: Node,
         path: str,
         request_id: str,
         key: int,
@@ -174,21 +172,21 @@
             ('deadline-ms', str(deadline_ms)),
             ('shard-key', str(key)),
         )
-        call = Call(method, place.callers, path, headers, b'x', HOST)
+        call = Call(method, node.callers, path, headers, b'x', HOST)
         return await fetch(self._pool, call, fresh=True)
 
     async def async_until(self, holds: Callable[[], bool]) -> None:
         """Wait until a condition holds."""
         async with asyncio.timeout(WAIT_LIMIT_S):
             while not holds():
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_S)
 
     async def async_until_served(self) -> None:
-        """Wait until every key has a server that holds it."""
+        """Wait until every key is held by a server."""
         await self.async_until(self.is_every_key_held)
 
     def is_every_key_held(self) -> bool:
-        """Tell whether every key has a server that holds it."""
+        """Return whether all processes are ready and every key is held."""
         held = 0
         now = self.clock.now()
         for server in self.record.servers:
@@ -197,8 +195,7 @@
                     len(hold.keys) for hold in server.holds if hold.until > now
                 )
         return held >= 65_536 and all(
-            place.process is None or place.process.is_ready
-            for place in self.nodes
+            node.process is None or node.process.is_ready for node in self.nodes
         )
 
 
--- a/tests/sidecar/test_evacuation.py
+++ b/tests/sidecar/test_evacuation.py
@@ -1,4 +1,4 @@
-"""A zone is evacuated, and comes back."""
+"""Evacuation of a zone, and its return to service."""
 
 import asyncio
 
@@ -9,121 +9,121 @@
 KEYS = range(0, 65_536, 4_096)
 
 
-async def async_ask_all(rig: Harness, name: str) -> list[int]:
-    """Return the statuses of requests for many keys and of some without."""
+async def async_ask_all(harness: Harness, name: str) -> list[int]:
+    """Return the statuses of requests for many keys and without keys."""
     statuses = []
-    for place in rig.nodes[:1]:
+    for node in harness.nodes[:1]:
         for key in KEYS:
-            reply = await rig.async_ask(place, '/cases/1', f'{name}-{key}', key)
+            reply = await harness.async_ask(
+                node, '/cases/1', f'{name}-{key}', key
+            )
             statuses.append(reply.status)
-            reply = await rig.async_ask(
-                place, '/letters/1', f'{name}-l{key}', key
+            reply = await harness.async_ask(
+                node, '/letters/1', f'{name}-l{key}', key
             )
             statuses.append(reply.status)
     return statuses
 
 
-def ran_in(rig: Harness, zone: str) -> int:
+def ran_in(harness: Harness, zone: str) -> int:
     """Return how many requests the servers of a zone have run."""
     instances = {
         server.life.instance
-        for server in rig.record.servers
+        for server in harness.record.servers
         if server.plan.zone == zone
     }
-    return sum(run.instance in instances for run in rig.record.runs)
+    return sum(run.instance in instances for run in harness.record.runs)
 
 
-def play(net: int, story, evacuate_s: float = 1.0) -> None:
+def run_scenario(net: int, scenario, evacuate_s: float = 1.0) -> None:
     async def run() -> None:
-        async with Harness(net) as rig:
-            rig.evacuate_s = evacuate_s
+        async with Harness(net) as harness:
+            harness.evacuate_s = evacuate_s
             for zone in 'ab':
-                await rig.async_add(KEYED, zone=zone)
-                await rig.async_add(PLAIN, zone=zone)
-            await rig.async_until_served()
-            await story(rig)
-            assert not rig.record.two_owners
+                await harness.async_add(KEYED, zone=zone)
+                await harness.async_add(PLAIN, zone=zone)
+            await harness.async_until_served()
+            await scenario(harness)
+            assert not harness.record.two_owners
 
     asyncio.run(run())
 
 
-def test_an_evacuated_zone_gets_nothing_and_nobody_misses_it() -> None:
-    """An operator asks for a zone to be evacuated before work on its power.
+def test_evacuated_zone_gets_no_work_and_no_request_fails() -> None:
+    """An operator requests an evacuation before a zone loses power.
 
-    Nothing knew of it: its servers went on serving, and requests were lost
-    with the power. Keys pass on first, and requests without keys go elsewhere.
+    If its servers kept serving, requests would be lost with the power. The keys
+    must be transferred first, and requests without keys routed elsewhere.
     """
 
-    async def story(rig: Harness) -> None:
-        assert set(await async_ask_all(rig, 'before')) == {200}
-        assert ran_in(rig, 'b')
-        rig.store.rows.put('op', ROW, b'{}')
-        away = [place for place in rig.nodes if place.settings.zone == 'b']
-        await rig.async_until(
-            lambda: all(
-                place.process._server_path.is_evacuated for place in away
-            )
+    async def scenario(harness: Harness) -> None:
+        assert set(await async_ask_all(harness, 'before')) == {200}
+        assert ran_in(harness, 'b')
+        harness.store.rows.put('op', ROW, b'{}')
+        away = [node for node in harness.nodes if node.settings.zone == 'b']
+        await harness.async_until(
+            lambda: all(node.process._server_path.is_evacuated for node in away)
         )
-        ran = ran_in(rig, 'b')
-        assert set(await async_ask_all(rig, 'during')) == {200}
-        assert ran_in(rig, 'b') == ran
-        rig.store.rows.delete('op', ROW)
-        await rig.async_until(
+        ran = ran_in(harness, 'b')
+        assert set(await async_ask_all(harness, 'during')) == {200}
+        assert ran_in(harness, 'b') == ran
+        harness.store.rows.delete('op', ROW)
+        await harness.async_until(
             lambda: (
-                not any(place.process._server_path.is_drained for place in away)
+                not any(node.process._server_path.is_drained for node in away)
             )
         )
-        assert set(await async_ask_all(rig, 'after')) == {200}
+        assert set(await async_ask_all(harness, 'after')) == {200}
 
-    play(97, story)
+    run_scenario(97, scenario)
 
 
-def test_a_process_that_starts_within_an_evacuation_serves_nothing() -> None:
-    """A process of the zone restarts meanwhile; it cannot know since when."""
+def test_process_started_during_an_evacuation_serves_nothing() -> None:
+    """A restarted process does not know when the evacuation began."""
 
-    async def story(rig: Harness) -> None:
-        rig.store.rows.put('op', ROW, b'{}')
-        place = rig.nodes[-1]
-        await rig.async_kill(place)
-        await rig.async_start(place)
-        await rig.async_until(lambda: place.process.is_ready)
+    async def scenario(harness: Harness) -> None:
+        harness.store.rows.put('op', ROW, b'{}')
+        node = harness.nodes[-1]
+        await harness.async_kill(node)
+        await harness.async_start(node)
+        await harness.async_until(lambda: node.process.is_ready)
         await asyncio.sleep(0)
-        assert place.process._server_path.is_evacuated
+        assert node.process._server_path.is_evacuated
 
-    play(98, story, evacuate_s=60.0)
+    run_scenario(98, scenario, evacuate_s=60.0)
 
 
-def test_a_second_zone_does_not_lengthen_the_first_evacuation() -> None:
-    """Another zone is evacuated half-way; the first one's end stays."""
+def test_second_evacuation_does_not_delay_the_first() -> None:
+    """Another zone is evacuated meanwhile; the first deadline stays."""
 
-    async def story(rig: Harness) -> None:
-        rig.store.rows.put('op', ROW, b'{}')
-        away = rig.nodes[-1].process
-        await rig.async_until(lambda: away._server_path.is_drained)
-        closing = away._retreat._closing
-        rig.store.rows.put('op', 'evacuate/c', b'{}')
-        await rig.async_until(lambda: 'c' in away._evacuations.zones)
-        assert away._retreat._closing is closing
+    async def scenario(harness: Harness) -> None:
+        harness.store.rows.put('op', ROW, b'{}')
+        away = harness.nodes[-1].process
+        await harness.async_until(lambda: away._server_path.is_drained)
+        closing = away._server_evacuation._close_timer
+        harness.store.rows.put('op', 'evacuate/c', b'{}')
+        await harness.async_until(lambda: 'c' in away._evacuations.zones)
+        assert away._server_evacuation._close_timer is closing
 
-    play(99, story, evacuate_s=60.0)
+    run_scenario(99, scenario, evacuate_s=60.0)
 
 
-def test_a_zone_comes_back_cold() -> None:
-    """Servers have lost their memory by the end of an evacuation.
+def test_servers_are_cold_after_an_evacuation() -> None:
+    """Servers have lost their in-memory state by the end of an evacuation.
 
-    They would get their whole share before their next heartbeat says so.
+    They must not get their full share before a heartbeat reports that.
     """
 
-    async def story(rig: Harness) -> None:
-        place = rig.nodes[-1]
-        cold = place.process._gate.queue.cold
+    async def scenario(harness: Harness) -> None:
+        node = harness.nodes[-1]
+        cold = node.process._gate.queue.cold
         cold.apply_limit(ColdLimit(1.0, 0.0))
-        rig.store.rows.put('op', ROW, b'{}')
-        path = place.process._server_path
-        await rig.async_until(lambda: path.is_evacuated)
-        place.server.cold.turn(60.0)
-        rig.store.rows.delete('op', ROW)
-        await rig.async_until(lambda: not path.is_evacuated)
-        assert cold.is_limited(rig.clock.now())
-
-    play(100, story)
+        harness.store.rows.put('op', ROW, b'{}')
+        path = node.process._server_path
+        await harness.async_until(lambda: path.is_evacuated)
+        node.server.cold.turn(60.0)
+        harness.store.rows.delete('op', ROW)
+        await harness.async_until(lambda: not path.is_evacuated)
+        assert cold.is_limited(harness.clock.now())
+
+    run_scenario(100, scenario)
--- a/tests/sidecar/test_requests.py
+++ b/tests/sidecar/test_requests.py
@@ -7,154 +7,158 @@
 from tests.sidecar.harness import KEYED, PLAIN, Harness
 
 
-def story_of(net: int, services: tuple[str, ...], story) -> None:
-    async def play() -> None:
-        async with Harness(net) as rig:
+def run_scenario(net: int, services: tuple[str, ...], scenario) -> None:
+    async def async_run() -> None:
+        async with Harness(net) as harness:
             for service in services:
-                await rig.async_add(service)
+                await harness.async_add(service)
             if KEYED in services:
-                await rig.async_until_served()
+                await harness.async_until_served()
             else:
-                await rig.async_until(
-                    lambda: all(place.process.is_ready for place in rig.nodes)
+                await harness.async_until(
+                    lambda: all(node.process.is_ready for node in harness.nodes)
                 )
                 await asyncio.sleep(0.5)
-            await story(rig)
-            assert not rig.record.two_owners
+            await scenario(harness)
+            assert not harness.record.two_owners
 
-    asyncio.run(play())
+    asyncio.run(async_run())
 
 
-def test_work_whose_answer_is_lost_is_not_run_again() -> None:
-    """A server runs a booking, and its connection breaks before the answer.
+def test_unsafe_request_is_not_retried_after_a_lost_answer() -> None:
+    """A server runs a request, and its connection breaks before the answer.
 
-    The caller is told that nobody knows, and the booking is not made twice.
+    The caller gets an unknown outcome, and the request does not run twice.
     """
 
-    async def story(rig: Harness) -> None:
-        for place in rig.nodes:
-            place.server.faults.reset_answers = 1
-        reply = await rig.async_ask(rig.nodes[0], '/cases/1', 'r1', 5)
+    async def scenario(harness: Harness) -> None:
+        for node in harness.nodes:
+            node.server.faults.reset_answers = 1
+        reply = await harness.async_ask(harness.nodes[0], '/cases/1', 'r1', 5)
         assert reply.status == 502
         assert b'retry-after' not in reply.headers
-        assert rig.record.times_run('r1') == 1
+        assert harness.record.times_run('r1') == 1
 
-    story_of(61, (KEYED, KEYED), story)
+    run_scenario(61, (KEYED, KEYED), scenario)
 
 
-def test_reading_whose_answer_is_lost_is_repeated() -> None:
-    async def story(rig: Harness) -> None:
-        for place in rig.nodes:
-            place.server.faults.reset_answers = 1
-        reply = await rig.async_ask(
-            rig.nodes[0], '/read/1', 'r1', 5, method='GET'
+def test_safe_request_is_retried_after_a_lost_answer() -> None:
+    async def scenario(harness: Harness) -> None:
+        for node in harness.nodes:
+            node.server.faults.reset_answers = 1
+        reply = await harness.async_ask(
+            harness.nodes[0], '/read/1', 'r1', 5, method='GET'
         )
         assert reply.status == 200
-        assert rig.record.times_run('r1') == 2
+        assert harness.record.times_run('r1') == 2
 
-    story_of(62, (KEYED, KEYED), story)
+    run_scenario(62, (KEYED, KEYED), scenario)
 
 
-def test_a_repeated_answer_never_reaches_another_caller() -> None:
-    """Servers send a second answer to each request, which arrives where the
-    next answer on the same connection is due.
+def test_duplicate_answer_never_reaches_another_caller() -> None:
+    """Servers answer each request twice. The second answer arrives where the
+    next answer on the same connection is expected.
     """
 
-    async def story(rig: Harness) -> None:
-        for place in rig.nodes:
-            place.server.faults.repeat_answers = 10
+    async def scenario(harness: Harness) -> None:
+        for node in harness.nodes:
+            node.server.faults.repeat_answers = 10
         for number in range(20):
             name = f'r{number}'
-            reply = await rig.async_ask(rig.nodes[0], '/cases/1', name, 5)
+            reply = await harness.async_ask(
+                harness.nodes[0], '/cases/1', name, 5
+            )
             assert reply.status == 200
             assert reply.body == f'done {name}'.encode()
             assert reply.headers[b'attempt-id'] == name.encode()
 
-    story_of(63, (KEYED,), story)
+    run_scenario(63, (KEYED,), scenario)
 
 
-def test_a_refusing_server_is_passed_over() -> None:
-    async def story(rig: Harness) -> None:
-        for place in rig.nodes:
-            place.server.faults.refuse = 1
-        reply = await rig.async_ask(rig.nodes[0], '/letters/1', 'r1', 5)
+def test_request_refused_by_a_server_runs_once_elsewhere_or_fails() -> None:
+    async def scenario(harness: Harness) -> None:
+        for node in harness.nodes:
+            node.server.faults.refuse = 1
+        reply = await harness.async_ask(harness.nodes[0], '/letters/1', 'r1', 5)
         times_by_status = {200: 1, 503: 0}
-        assert rig.record.times_run('r1') == times_by_status[reply.status]
+        assert harness.record.times_run('r1') == times_by_status[reply.status]
 
-    story_of(64, (PLAIN, PLAIN, PLAIN), story)
+    run_scenario(64, (PLAIN, PLAIN, PLAIN), scenario)
 
 
-def test_silence_of_a_server_ends_at_the_deadline() -> None:
-    """A server takes a booking and never answers. The caller gets its final
-    answer at its deadline, and it promises nothing.
+def test_unanswered_request_ends_at_its_deadline() -> None:
+    """A server accepts a request and never answers. The caller gets a final
+    answer at its deadline, with an unknown outcome.
     """
 
-    async def story(rig: Harness) -> None:
-        place = rig.nodes[0]
-        place.server.faults.lose_answers = 1
-        reply = await rig.async_ask(place, '/cases/1', 'r1', 5, deadline_ms=300)
+    async def scenario(harness: Harness) -> None:
+        node = harness.nodes[0]
+        node.server.faults.lose_answers = 1
+        reply = await harness.async_ask(
+            node, '/cases/1', 'r1', 5, deadline_ms=300
+        )
         assert reply.status == 504
-        assert rig.record.times_run('r1') == 1
+        assert harness.record.times_run('r1') == 1
 
-    story_of(65, (KEYED,), story)
+    run_scenario(65, (KEYED,), scenario)
 
 
 @pytest.mark.parametrize(
     ('path', 'status'), [('/nowhere/1', 404), ('/cases', 404)]
 )
-def test_unknown_routes_are_refused(path, status) -> None:
-    async def story(rig: Harness) -> None:
-        reply = await rig.async_ask(rig.nodes[0], path, 'r1', 5)
+def test_request_without_a_route_is_refused(path, status) -> None:
+    async def scenario(harness: Harness) -> None:
+        reply = await harness.async_ask(harness.nodes[0], path, 'r1', 5)
         assert reply.status == status
 
-    story_of(66, (PLAIN,), story)
+    run_scenario(66, (PLAIN,), scenario)
 
 
-def test_a_server_that_restarts_is_served_again_without_its_heartbeat() -> None:
-    """A server crashes and starts again at once. The next request names the
-    old life, and the server's refusal tells of the new one.
+def test_restarted_server_is_used_before_its_first_heartbeat() -> None:
+    """A server crashes and restarts at once. The next request names the old
+    incarnation, and the server's refusal names the new one.
     """
 
-    async def story(rig: Harness) -> None:
-        place = rig.nodes[0]
-        await place.server.async_crash()
-        await rig.async_start_server(place)
-        await rig.async_until_served()
-        reply = await rig.async_ask(place, '/cases/1', 'r1', 5)
+    async def scenario(harness: Harness) -> None:
+        node = harness.nodes[0]
+        await node.server.async_crash()
+        await harness.async_start_server(node)
+        await harness.async_until_served()
+        reply = await harness.async_ask(node, '/cases/1', 'r1', 5)
         assert reply.status == 200
-        assert rig.record.runs[-1].instance == place.server.instance
+        assert harness.record.runs[-1].instance == node.server.instance
 
-    story_of(67, (KEYED,), story)
+    run_scenario(67, (KEYED,), scenario)
 
 
-def test_a_killed_process_takes_its_keys_up_again() -> None:
-    async def story(rig: Harness) -> None:
-        place = rig.nodes[0]
-        await rig.async_kill(place)
-        await rig.async_start(place)
-        await rig.async_until_served()
+def test_restarted_process_serves_its_keys_again() -> None:
+    async def scenario(harness: Harness) -> None:
+        node = harness.nodes[0]
+        await harness.async_kill(node)
+        await harness.async_start(node)
+        await harness.async_until_served()
         for key in (0, 40_000, 65_535):
-            reply = await rig.async_ask(place, '/cases/1', f'k{key}', key)
+            reply = await harness.async_ask(node, '/cases/1', f'k{key}', key)
             assert reply.status == 200
 
-    story_of(68, (KEYED, KEYED), story)
+    run_scenario(68, (KEYED, KEYED), scenario)
 
 
-def test_a_hot_spot_is_spread_over_servers() -> None:
-    """A few neighbouring keys bring more than one server can serve.
+def test_hot_keys_are_spread_over_servers() -> None:
+    """A few adjacent keys get more requests than one server can serve.
 
-    Some of them pass to the other server, and callers are answered all the
-    while.
+    Some of them are transferred to the other server, and callers get answers
+    throughout.
     """
 
-    async def story(rig: Harness) -> None:
-        for place in rig.nodes:
-            place.server.plan = place.plan
+    async def scenario(harness: Harness) -> None:
+        for node in harness.nodes:
+            node.server.plan = node.plan
 
-        async def press(place, number: int) -> int:
+        async def async_send(node, number: int) -> int:
             key = number % 20
-            reply = await rig.async_ask(
-                place, '/read/1', f'h{number}', key, method='GET'
+            reply = await harness.async_ask(
+                node, '/read/1', f'h{number}', key, method='GET'
             )
             return reply.status
 
@@ -164,38 +168,40 @@
             numbers = range(number, number + 30)
             number += 30
             await asyncio.gather(
-                *(press(rig.nodes[each % 2], each) for each in numbers)
+                *(async_send(harness.nodes[each % 2], each) for each in numbers)
             )
             served = {
-                run.instance for run in rig.record.runs if run.key in range(20)
+                run.instance
+                for run in harness.record.runs
+                if run.key in range(20)
             }
             assert number < 6000
 
-    story_of(69, (KEYED, KEYED), story)
+    run_scenario(69, (KEYED, KEYED), scenario)
 
 
 def test_requests_for_keys_of_a_crashed_server_are_refused_at_once() -> None:
-    """A server crashes and stays away for a while.
+    """A server crashes and is down for a while.
 
-    Each request for its keys was tried four times, 20 ms apart, or waited for
-    the keys to be held; its caller could have been told at once when to come
-    back, and the process spent a fifth of a core on the tries.
+    If each request for its keys were retried four times, 20 ms apart, or waited
+    for the keys to be held, its caller would learn late when to retry, and the
+    process would spend a fifth of a core on the retries.
     """
 
-    async def story() -> tuple[int, bytes, int]:
-        async with Harness(71) as rig:
-            place = await rig.async_add(KEYED)
-            await rig.async_until_served()
-            await place.server.async_crash()
-            await rig.async_until(lambda: not place.process._orders.session)
+    async def scenario() -> tuple[int, bytes, int]:
+        async with Harness(71) as harness:
+            node = await harness.async_add(KEYED)
+            await harness.async_until_served()
+            await node.server.async_crash()
+            await harness.async_until(lambda: not node.process._orders.session)
             refused = []
-            place.process._log.count_by(refused.append)
-            reply = await rig.async_ask(place, '/cases/1', 'crashed', 5)
+            node.process._log.count_by(refused.append)
+            reply = await harness.async_ask(node, '/cases/1', 'crashed', 5)
             headers = dict(reply.headers)
             return reply.status, headers[b'retry-after'], len(refused)
 
-    status, retry_after, events = asyncio.run(story())
+    status, retry_after, events = asyncio.run(scenario())
     assert status == 503
     assert float(retry_after) > 0
-    # One line of the process beside the server, one of the caller's.
+    # One event of the process of the server, one of the caller's process.
     assert events == 2
--- a/tests/sidecar/test_reused_address.py
+++ b/tests/sidecar/test_reused_address_messages.py
@@ -1,4 +1,4 @@
-"""Messages that reach an address after it has passed to another service."""
+"""Messages to an address that is reused by another service."""
 
 import asyncio
 import os
@@ -27,26 +27,26 @@
     Offer,
     Token,
 )
-from plantaingrade.sidecar.control import Control
+from plantaingrade.sidecar.control import ControlHandler
 
 OWN = Member('letters@10.0.0.1', 'letters', 'a', '10.0.0.1:1', 'b1')
 SLOTS = 6
 
 
-def test_an_offer_to_another_service_is_refused() -> None:
-    """An instance is lost, and its address goes to one of another service.
+def test_offer_for_another_service_is_refused() -> None:
+    """An instance is lost, and one of another service gets its address.
 
-    A member offers keys to the lost one, whose row is still there. The new
-    process accepts in its place, and the keys go to a member that is gone:
-    nobody serves them until somebody takes them over.
+    A member offers keys to the lost member, whose row still exists. If the new
+    process accepts, the keys go to a member that is gone, and nobody serves
+    them until they are taken over.
     """
     clock = BootClock()
-    life = IncarnationTracker()
-    life.on_identified('i-1', clock.now())
+    tracker = IncarnationTracker()
+    tracker.on_identified('i-1', clock.now())
     balance = BalanceCoordinator(
         OWN,
         SimpleNamespace(registry=SimpleNamespace(is_waiting=False)),
-        life,
+        tracker,
         SlotQueue(SLOTS, WorkEstimate()),
         SimpleNamespace(),
         SimpleNamespace(),
@@ -58,11 +58,11 @@
     assert not reply.is_accepted
 
 
-def test_a_token_for_keys_of_another_service_is_not_used() -> None:
-    """The word that keys have passed reaches a process of another service.
+def test_handover_token_of_another_service_is_ignored() -> None:
+    """A process receives handover tokens for keys of another service.
 
-    Its own keys of the same numbers would be granted with a token that their
-    last holder never gave, and in pieces.
+    Its own keys with the same numbers would be granted in pieces, with a token
+    that their last holder did not issue.
     """
     tokens: list[Token] = []
     change = MapChanged('cases', 'cases@10.0.0.2', 1, 2, 2, (), ())
@@ -81,7 +81,7 @@
         PeerLoads(),
         PeerHooks(list, tokens.append, lambda _: None, lambda *_: None),
     )
-    control = Control(
+    control = ControlHandler(
         peers,
         SimpleNamespace(expect_handover=tokens.append),
         SimpleNamespace(),
--- a/tests/sidecar/test_start.py
+++ b/tests/sidecar/test_start.py
@@ -1,12 +1,12 @@
-"""What a start of the process beside a server loads."""
+"""Modules that the sidecar process imports when it starts."""
 
 import json
 import subprocess
 import sys
 
-# Each takes 10 to 30 ms of processor time, and none is needed for the first
-# request. On a day on which hundreds of processes are killed and start again,
-# starts took more time than all requests.
+# Each takes 10 to 30 ms of processor time to import, and the first request
+# needs none. With hundreds of process restarts a day, starts took more
+# processor time than all requests.
 NOT_AT_START = frozenset(
     (
         'absl',
@@ -27,11 +27,9 @@
 )
 
 
-def test_a_start_loads_only_what_the_first_request_needs() -> None:
-    """Machines are stopped and started in turn, and each start is a wait.
-
-    Whatever a module imports at its top is paid for at every start, by the
-    callers of that instance.
+def test_start_imports_only_what_the_first_request_needs() -> None:
+    """Machines are restarted one after another, and callers of an instance wait
+    for each start, including all imports at the top of modules.
     """
     listed = subprocess.run(
         [sys.executable, '-c', LIST_MODULES],
