--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -11,10 +11,10 @@
 
 from lab.callers import Callers
 from lab.deployment import DeploymentError, read_deployment
-from lab.policies import POLICY_BY_NAME, PRESENT
-from lab.statistics import Statistics, shares_by_kind
 from lab.faults import FaultInjector
+from lab.policies import POLICY_BY_NAME, PRESENT
 from lab.simulation import Simulation
+from lab.statistics import Statistics, shares_by_kind
 from tests.virtual import run
 
 EXIT_BAD_INPUT = 2
--- a/lab/callers.py
+++ b/lab/callers.py
@@ -6,8 +6,8 @@
 from itertools import accumulate
 
 from lab.deployment import RequestKind
-from lab.statistics import RequestResult, Statistics
 from lab.simulation import SERVED, Simulation
+from lab.statistics import RequestResult, Statistics
 from plantaingrade.const import MS_PER_S
 from plantaingrade.keyspace.entity import KEY_COUNT
 from plantaingrade.requests.entity import Answered, NotRun, Outcome
--- a/lab/simulation.py
+++ b/lab/simulation.py
@@ -13,7 +13,10 @@
 from lab.keys import LabHolds, SharedMap
 from plantaingrade.admission.gate import Gate
 from plantaingrade.admission.service_retries import ServiceRetryBudget
-from plantaingrade.backends.life import BackendLife, LifeState
+from plantaingrade.backends.incarnation import (
+    IncarnationState,
+    IncarnationTracker,
+)
 from plantaingrade.balance.coordinator import BalanceCoordinator
 from plantaingrade.balance.entity import FreeCapacity, Load
 from plantaingrade.balance.peer_loads import PeerLoads
@@ -40,9 +43,9 @@
     RoutedRequest,
 )
 from plantaingrade.requests.server_path import (
+    ServerCodec,
     ServerHooks,
     ServerPath,
-    ServerCodec,
 )
 from plantaingrade.requests.targets import TargetChooser
 from tests.virtual import LoopClock
@@ -175,8 +178,8 @@
             simulation.log,
             simulation.directory,
         )
-        self.life = BackendLife()
-        self.life.state = LifeState.READY
+        self.life = IncarnationTracker()
+        self.life.state = IncarnationState.READY
         self.gate = Gate.from_slots(self.service.slots, clock)
         self.holds = LabHolds(shared or simulation.no_map, self.member)
         peers = LabServicePeers(
@@ -331,7 +334,7 @@
         return any(
             each.gate.queue.running < each.service.slots
             for each in self.instances
-            if each.service.name == service and each.life.takes_work
+            if each.service.name == service and each.life.accepts_work
         )
 
     def find_kind(self, caller: CallerRequest) -> RequestKind:
--- a/plantaingrade/holds/epoch_start.py
+++ b/plantaingrade/holds/epoch_start.py
@@ -13,7 +13,6 @@
 from plantaingrade.holds.lease import MAX_STORE_S, UnreadableLeaseError
 from plantaingrade.schema import SchemaError, parse_object
 
-
 # Time in place of one that cannot be read.
 UNKNOWN_S = float('inf')
 
--- a/plantaingrade/holds/transfer.py
+++ b/plantaingrade/holds/transfer.py
@@ -16,8 +16,8 @@
 )
 from plantaingrade.holds.registry import Registry
 from plantaingrade.keyspace.entity import Assignment, KeyMap, KeyRange
-from plantaingrade.peers.map_relay import MapRelay
 from plantaingrade.peers.entity import Token
+from plantaingrade.peers.map_relay import MapRelay
 
 # Time limit of the change in the store; nobody serves the range meanwhile.
 MOVE_LIMIT_S = 2.0
--- a/plantaingrade/operators/api.py
+++ b/plantaingrade/operators/api.py
@@ -7,7 +7,7 @@
 
 from msgspec.structs import asdict, replace
 
-from plantaingrade.backends.report import ServerLife
+from plantaingrade.backends.report import ServerIncarnation
 from plantaingrade.balance.peer_loads import PeerLoads
 from plantaingrade.clock import Clock
 from plantaingrade.config.coordinator import ConfigFollower
@@ -144,7 +144,7 @@
         self._applied = DEFAULT_DESIRED_STATE
         # Desired states written by this process, by the member concerned.
         self._written_by_member: dict[str, tuple[Member, DesiredState]] = {}
-        self._get_incarnation: Callable[[], ServerLife] | None = None
+        self._get_incarnation: Callable[[], ServerIncarnation] | None = None
 
     def set_desired_state_callback(
         self, callback: Callable[[DesiredState], None]
@@ -152,7 +152,9 @@
         """Set the callback that receives the own server's desired state."""
         self._on_desired_state = callback
 
-    def set_incarnation_source(self, source: Callable[[], ServerLife]) -> None:
+    def set_incarnation_source(
+        self, source: Callable[[], ServerIncarnation]
+    ) -> None:
         """Set the function that returns the own server's incarnation."""
         self._get_incarnation = source
 
--- a/plantaingrade/platform/reports.py
+++ b/plantaingrade/platform/reports.py
@@ -7,7 +7,7 @@
     Farewell,
     Heartbeat,
     ReportedState,
-    ServerLife,
+    ServerIncarnation,
 )
 from plantaingrade.http.messages import Request
 from plantaingrade.platform.const import PATH_REPORTS
@@ -65,7 +65,7 @@
     if cold_s > MAX_COLD_S:
         raise UnreadableFieldError('coldRemaining is above its maximum.')
     return Heartbeat(
-        life=_read_incarnation(instance, fields),
+        incarnation=_read_incarnation(instance, fields),
         service=fields.text('service'),
         address=fields.text('address'),
         slots=fields.integer('capacity', 1, MAX_SLOTS),
@@ -75,17 +75,17 @@
     )
 
 
-def _decode_farewell(instance: str, body: bytes) -> ServerLife:
+def _decode_farewell(instance: str, body: bytes) -> ServerIncarnation:
     """Return the incarnation that stops; the body of a farewell is optional."""
     if not body:
-        return ServerLife(instance)
+        return ServerIncarnation(instance)
     try:
         return _read_incarnation(instance, parse_object(body))
     except SchemaError as error:
         raise UnreadableFieldError(f'Invalid farewell: {error}') from error
 
 
-def _read_incarnation(instance: str, fields: Fields) -> ServerLife:
+def _read_incarnation(instance: str, fields: Fields) -> ServerIncarnation:
     if not fields.has(FIELD_START_TIME):
-        return ServerLife(instance)
-    return ServerLife(instance, fields.integer(FIELD_START_TIME, 1))
+        return ServerIncarnation(instance)
+    return ServerIncarnation(instance, fields.integer(FIELD_START_TIME, 1))
--- a/plantaingrade/platform/wire.py
+++ b/plantaingrade/platform/wire.py
@@ -20,13 +20,13 @@
 from plantaingrade.platform.orders import OrderClient
 from plantaingrade.platform.reports import decode_report
 from plantaingrade.platform.store import StoreClient
+from plantaingrade.sidecar.adapter import PlatformAdapter
 from plantaingrade.sidecar.settings import InstanceSettings
-from plantaingrade.sidecar.wire import PlatformWire
 
 
-def make_wire(settings: InstanceSettings, clock: Clock) -> PlatformWire:
+def make_wire(settings: InstanceSettings, clock: Clock) -> PlatformAdapter:
     """Return the adapter for the platform that the settings describe."""
-    return PlatformWire(
+    return PlatformAdapter(
         config_table=TABLE_OPERATOR,
         config_key=KEY_CONFIG,
         evacuation_prefix=PREFIX_EVACUATION,
--- a/plantaingrade/sidecar/wire.py
+++ b/plantaingrade/sidecar/adapter.py
@@ -1,4 +1,4 @@
-"""What the adapter of a platform gives to the process."""
+"""Interface between the process and the adapter of a platform."""
 
 from collections.abc import Callable
 
@@ -18,8 +18,8 @@
 from plantaingrade.store.interface import Store
 
 
-class PlatformWire(Struct, frozen=True):
-    """Typed doors to everything that speaks the platform's words."""
+class PlatformAdapter(Struct, frozen=True):
+    """Names, codecs and clients specific to a platform."""
 
     config_table: str
     config_key: str
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -14,10 +14,10 @@
 
 from plantaingrade.http.pool import Pool
 from soak.callers import KEYS, STATUS_OK, Callers
-from soak.schedule import ALL_FAULTS, FaultKind, make_schedule
+from soak.cluster import ZONES, Cluster
 from soak.faults import FaultInjector
+from soak.schedule import ALL_FAULTS, FaultKind, make_schedule
 from soak.verdict import Verdict, judge, read_acquisitions, read_runs
-from soak.cluster import ZONES, Cluster
 
 # All keys must be served again within this time after the last fault: the rest
 # of a lease, the wait after an outage, and a takeover.
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -8,7 +8,7 @@
 from plantaingrade.http.channel import ChannelClosedError
 from plantaingrade.http.client import Call, Reply, fetch
 from plantaingrade.http.pool import ConnectFailedError, Pool
-from soak.cluster import HOST, Instance, Cluster
+from soak.cluster import HOST, Cluster, Instance
 
 DEADLINE_MS = 1500
 # A caller stops waiting this long after its deadline.
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -7,10 +7,10 @@
 from functools import partial
 from typing import Any
 
-from soak.schedule import FaultKind, Step
+from soak.cluster import Cluster, Instance, router_name, server_name
 from soak.malformed import async_put_row, async_send_report
+from soak.schedule import FaultKind, Step
 from soak.verdict import Pause
-from soak.cluster import Instance, Cluster, router_name, server_name
 
 RESTART_S = 0.3
 RELAY_DELAY_S = 0.15
--- a/soak/malformed.py
+++ b/soak/malformed.py
@@ -8,10 +8,10 @@
 from plantaingrade.holds.rows import TABLE, member_row
 from plantaingrade.operators.desired_state import desired_state_row
 from plantaingrade.peers.entity import Member
-from soak.cluster import PEERS_PORT, Instance, Cluster
+from soak.cluster import PEERS_PORT, Cluster, Instance
 from standins.incarnation import Heartbeat, Incarnation
-from standins.reports import Reporter
 from standins.malformed import Flaw, corrupt
+from standins.reports import Reporter
 
 UNKNOWN_ID = 'stranger'
 # No process listens on this address.
--- a/standins/keyed_server.py
+++ b/standins/keyed_server.py
@@ -40,7 +40,7 @@
 )
 from plantaingrade.platform.units import parse_time
 from plantaingrade.requests.entity import Answer
-from plantaingrade.sidecar.fronts import refuse_malformed, send_answer
+from plantaingrade.sidecar.endpoints import refuse_malformed, send_answer
 from standins.cold import ColdPeriod
 from standins.fences import Acquisition, find_stale_acquisitions
 from standins.incarnation import Heartbeat, Incarnation
--- a/tests/platform/test_reports.py
+++ b/tests/platform/test_reports.py
@@ -11,7 +11,7 @@
     Farewell,
     Heartbeat,
     ReportedState,
-    ServerLife,
+    ServerIncarnation,
 )
 from plantaingrade.http.messages import Request
 from plantaingrade.platform.reports import decode_report
@@ -43,7 +43,7 @@
 
 def test_heartbeat_identifies_incarnation_by_id_and_start_time() -> None:
     assert decode(VALID) == Heartbeat(
-        ServerLife('i-1', START_TIME_MS),
+        ServerIncarnation('i-1', START_TIME_MS),
         'cases',
         '10.0.0.1:8145',
         6,
@@ -55,15 +55,15 @@
 
 def test_start_time_in_heartbeat_is_optional() -> None:
     fields = {name: VALID[name] for name in VALID if name != 'born'}
-    assert decode(fields).life == ServerLife('i-1')
+    assert decode(fields).incarnation == ServerIncarnation('i-1')
 
 
 def test_start_time_in_farewell_is_optional() -> None:
     bare = decode_report(request('DELETE', '/v1/instances/i-1'), b'')
-    assert bare == Farewell(ServerLife('i-1'))
+    assert bare == Farewell(ServerIncarnation('i-1'))
     body = json.dumps({'born': START_TIME_MS}).encode()
     with_start = decode_report(request('DELETE', '/v1/instances/i-1'), body)
-    assert with_start == Farewell(ServerLife('i-1', START_TIME_MS))
+    assert with_start == Farewell(ServerIncarnation('i-1', START_TIME_MS))
 
 
 def test_other_requests_are_not_reports() -> None:
@@ -175,7 +175,7 @@
     assert report.slots > 0
     assert report.sequence >= 0
     assert report.cold_s >= 0
-    assert report.life.born_ms.__class__ in {int, type(None)}
+    assert report.incarnation.born_ms.__class__ in {int, type(None)}
 
 
 @given(st.binary(max_size=200), st.sampled_from(['PUT', 'DELETE']))
@@ -192,5 +192,5 @@
         report = decode(VALID, f'/v1/instances/{path}')
     except UnreadableFieldError:
         return
-    assert report.life.instance.isascii()
-    assert not set(report.life.instance) & set('%/?#')
+    assert report.incarnation.instance.isascii()
+    assert not set(report.incarnation.instance) & set('%/?#')
--- a/tests/standins/test_incarnations.py
+++ b/tests/standins/test_incarnations.py
@@ -13,11 +13,11 @@
 from plantaingrade.http.pool import Pool, split_address
 from plantaingrade.http.server import HttpServer
 from plantaingrade.requests.entity import Answer
-from plantaingrade.sidecar.fronts import refuse_malformed, send_answer
-from standins.keyed_server import KeyedServer, RunRecord, ServerPlan
+from plantaingrade.sidecar.endpoints import refuse_malformed, send_answer
 from standins.incarnation import Incarnation
-from standins.shared_store import SharedStore
+from standins.keyed_server import KeyedServer, RunRecord, ServerPlan
 from standins.malformed import Flaw
+from standins.shared_store import SharedStore
 
 REPORTS = '127.71.0.1:18144'
 SERVER = '127.71.0.2:18145'
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -8,7 +8,6 @@
 from collections.abc import Coroutine
 from typing import Any
 
-
 # Least time of a turn of the loop, in seconds: a timer that is due within
 # the clock's resolution fires at once, and whoever waits looks at the time.
 MIN_STEP_S = 1e-8
