--- a/tests/cloud/test_table.py
+++ b/tests/cloud/test_table.py
@@ -24,7 +24,7 @@
 from plantaingrade.journal.entity import Applied, DeclarationApplied, ServiceRow
 from plantaingrade.routing.respond import refuse_malformed
 from standins.platform import ObjectStandIn, TableStandIn
-from tests.rig import listening_at
+from tests.harness import listen_address
 
 SERVICES = (ServiceRow('casebook', 2, True, 400),)
 Scenario = Callable[['Harness'], Awaitable[None]]
@@ -48,7 +48,7 @@
         """Listen, and connect the clients."""
         for server in self.servers:
             await server.async_listen('127.0.0.1', 0)
-        table, store = map(listening_at, self.servers)
+        table, store = map(listen_address, self.servers)
         self.client = TableClient(self.pool, table, 't')
         self.store_client = ObjectClient(self.pool, store, 'b')
         return self
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -329,11 +329,11 @@
                 return member
         return None
 
-    def named(self, member: str | None) -> FakeMember:
+    def find_member(self, member: str | None) -> FakeMember:
         """Return a member by name."""
         return next(each for each in self.members if each.name == member)
 
-    def until(self, condition: Callable[[], bool], limit: float) -> float:
+    def run_until(self, condition: Callable[[], bool], limit: float) -> float:
         """Run until a condition holds; return the seconds it took."""
         began = self.time
         while not condition():
--- a/tests/rig.py
+++ b/tests/harness.py
@@ -48,7 +48,7 @@
     async def async_start(self) -> str:
         """Listen on a free port; return the address."""
         await self.server.async_listen(HOST, 0)
-        return listening_at(self.server)
+        return listen_address(self.server)
 
     async def _serve(self, request: Request, channel: Channel) -> None:
         self.requests.append(request)
@@ -61,7 +61,7 @@
             raise
 
 
-class Rig:
+class RouterHarness:
     """A router that owns every key, its upstream, and a raw caller."""
 
     def __init__(self, script: Script = echo, slots: int = 4) -> None:
@@ -75,7 +75,7 @@
         self.metrics = Metrics()
         self.admission = AdmissionQueue(slots)
 
-    async def __aenter__(self) -> 'Rig':
+    async def __aenter__(self) -> 'RouterHarness':
         """Start both sides."""
         backend = await self.upstream.async_start()
         self._build(backend)
@@ -85,7 +85,7 @@
             refuse_malformed,
         )
         await self.server.async_listen(HOST, 0)
-        self.address = listening_at(self.server)
+        self.address = listen_address(self.server)
         self.row.http = self.address
         return self
 
@@ -109,7 +109,7 @@
 
         self.upstream.script = once
 
-    def check_nothing(self) -> None:
+    def disable_fence_checks(self) -> None:
         """Declare the server as one that does not check fences."""
         self.row.checks_fence = False
 
@@ -159,7 +159,7 @@
         )
 
 
-def listening_at(server: HttpServer) -> str:
+def listen_address(server: HttpServer) -> str:
     """Return the address a server has been given."""
     host, port = server._server.sockets[0].getsockname()  # noqa: SLF001
     return f'{host}:{port}'
@@ -195,7 +195,7 @@
     return int(answer.split(b' ', 2)[1])
 
 
-def with_peer(rig: Rig, address: str) -> None:
+def assign_keys_to_peer(rig: RouterHarness, address: str) -> None:
     """Let another process, at an address, own every key."""
     part = rig.state.slices['casebook/0']
     part.owner = 'b'
--- a/tests/holds/test_malformed_rows.py
+++ b/tests/holds/test_malformed_rows.py
@@ -33,7 +33,7 @@
 from plantaingrade.peers.entity import Member
 from plantaingrade.store.entity import Row, RowName
 from tests.holds.fakes import SERVICE, FakeCluster
-from tests.strangers import ANY_JSON, BAD_BODIES, changed
+from tests.malformed import ANY_JSON, BAD_BODIES, mutated
 from tests.virtual import run
 
 SETTLED_S = 6.0
@@ -67,7 +67,7 @@
     return cluster
 
 
-@given(changed(GOOD_ROW))
+@given(mutated(GOOD_ROW))
 def test_a_decoded_member_row_is_valid(fields) -> None:
     try:
         row = decode_member_row('m9', json.dumps(fields).encode(), 3)
@@ -101,7 +101,7 @@
         decode_member_row('m9', body, 3)
 
 
-@given(changed(GOOD_MAP), st.lists(st.lists(ANY_JSON, max_size=4), max_size=3))
+@given(mutated(GOOD_MAP), st.lists(st.lists(ANY_JSON, max_size=4), max_size=3))
 def test_a_decoded_map_is_valid(fields, odd) -> None:
     if isinstance(fields.get('ranges'), list):
         fields = {**fields, 'ranges': fields['ranges'] + odd}
@@ -140,7 +140,7 @@
         decode_map(json.dumps(fields).encode(), 1)
 
 
-@given(changed(GOOD_WISH))
+@given(mutated(GOOD_WISH))
 def test_a_decoded_wish_is_valid(fields) -> None:
     name = desired_state_row(SERVICE, 'm1')
     try:
@@ -161,7 +161,7 @@
         decode_desired_state(Row(desired_state_row(SERVICE, 'm1'), body, 1))
 
 
-BODIES = st.sampled_from(BAD_BODIES) | changed(GOOD_ROW).map(
+BODIES = st.sampled_from(BAD_BODIES) | mutated(GOOD_ROW).map(
     lambda fields: json.dumps(fields).encode()
 )
 KEYS = st.sampled_from(
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -17,7 +17,7 @@
 from plantaingrade.http.server import HttpServer
 from plantaingrade.routing.respond import refuse_malformed, send_plain
 from tests.cluster import FakeClock
-from tests.rig import Rig, header, listening_at, request, status
+from tests.harness import RouterHarness, header, listen_address, request, status
 from tests.routing.test_outcomes import run
 
 LARGE_BODY = b'x' * 3_000_000
@@ -46,7 +46,7 @@
     """Malformed input gets an error response; later requests are served."""
 
     async def scenario() -> None:
-        async with Rig() as rig:
+        async with RouterHarness() as rig:
             answer = await rig.send(raw)
             assert status(answer) == code
             assert header(answer, b'x-outcome') == b'not-run'
@@ -60,7 +60,7 @@
     """A caller sends three requests before it reads the first response."""
 
     async def scenario() -> None:
-        async with Rig() as rig:
+        async with RouterHarness() as rig:
             raw = b''.join(
                 b'POST /casebook/1 HTTP/1.1\r\nhost: x\r\n'
                 b'content-length: 3\r\n\r\n' + body
@@ -78,7 +78,7 @@
     """Bodies far larger than all buffers arrive complete in both directions."""
 
     async def scenario() -> None:
-        async with Rig() as rig:
+        async with RouterHarness() as rig:
             answer = await rig.send(request('POST', body=LARGE_BODY))
             assert rig.upstream.bodies == [LARGE_BODY]
             assert answer.partition(b'\r\n\r\n')[2] == LARGE_BODY
@@ -90,7 +90,7 @@
     """A caller sends a chunked body, whose length is not known in advance."""
 
     async def scenario() -> None:
-        async with Rig() as rig:
+        async with RouterHarness() as rig:
             raw = (
                 b'POST /casebook/1 HTTP/1.1\r\nhost: x\r\n'
                 b'connection: close\r\ntransfer-encoding: chunked\r\n\r\n'
@@ -105,7 +105,7 @@
     """A caller waits for a 100 response before it sends its body."""
 
     async def scenario() -> None:
-        async with Rig() as rig:
+        async with RouterHarness() as rig:
             reader, writer = await rig.open()
             writer.write(
                 b'POST /casebook/1 HTTP/1.1\r\nhost: x\r\n'
@@ -125,7 +125,7 @@
     """A planned stop must not break a request: the response says ``close``."""
 
     async def scenario() -> None:
-        async with Rig() as rig:
+        async with RouterHarness() as rig:
             rig.server.end_connections()
             reader, writer = await rig.open()
             writer.write(b'GET /casebook/1 HTTP/1.1\r\nhost: x\r\n\r\n')
@@ -157,7 +157,7 @@
     async def scenario() -> None:
         clock = FakeClock()
         server = await _serve(_answer, clock)
-        call = Call('GET', listening_at(server), '/')
+        call = Call('GET', listen_address(server), '/')
         with Pool(clock) as pool:
             await fetch(pool, call)
             await fetch(pool, call)
@@ -185,7 +185,7 @@
             channel.abort()
 
         server = await _serve(send_partial_response, clock)
-        call = Call('GET', listening_at(server), '/')
+        call = Call('GET', listen_address(server), '/')
         with Pool(clock) as pool, pytest.raises(ChannelClosedError):
             await fetch(pool, call)
         await server.async_close()
@@ -227,7 +227,7 @@
         channel.abort()
 
     async def scenario() -> None:
-        async with Rig(send_partial_response) as rig:
+        async with RouterHarness(send_partial_response) as rig:
             reader, writer = await rig.open()
             writer.write(b'GET /casebook/1 HTTP/1.0\r\n\r\n')
             with pytest.raises(ConnectionResetError):
@@ -251,7 +251,7 @@
             await read_body(channel)
             send_plain(channel, 200, b'fine')
 
-        async with Rig() as rig:
+        async with RouterHarness() as rig:
             rig.upstream.server._serve_request = check_upload  # noqa: SLF001
             reader, writer = await rig.open()
             writer.write(
@@ -291,7 +291,7 @@
                 sent += 1
             channel.send(EndOfMessage())
 
-        async with Rig(stream_response) as rig:
+        async with RouterHarness(stream_response) as rig:
             reader, writer = await rig.open()
             writer.write(request('GET'))
             before = -1
--- a/tests/strangers.py
+++ b/tests/malformed.py
@@ -69,15 +69,15 @@
 )
 
 
-def changed(good: dict[str, Any]) -> st.SearchStrategy[dict[str, Any]]:
+def mutated(good: dict[str, Any]) -> st.SearchStrategy[dict[str, Any]]:
     """Return good fields of which some are changed or left out."""
     names = sorted(good)
     odd = st.dictionaries(st.sampled_from(names), ANY_JSON, max_size=3)
     dropped = st.sets(st.sampled_from(names), max_size=2)
-    return st.builds(_changed, st.just(good), odd, dropped)
+    return st.builds(_mutate, st.just(good), odd, dropped)
 
 
-def _changed(
+def _mutate(
     good: dict[str, Any], odd: dict[str, Any], dropped: set[str]
 ) -> dict[str, Any]:
     return {
--- a/tests/naive.py
+++ b/tests/naive.py
@@ -42,7 +42,7 @@
     time: float = 0.0
     members: list[NaiveMember] = field(default_factory=list)
     cut: set[int] = field(default_factory=set)
-    double_instants: int = 0
+    double_owner_count: int = 0
     unserved_s: float = 0.0
 
     def __post_init__(self) -> None:
@@ -73,5 +73,5 @@
             if not member.dead and not member.paused:
                 for index in member.owned(self.slices):
                     owners[index] += 1
-        self.double_instants += sum(count > 1 for count in owners.values())
+        self.double_owner_count += sum(count > 1 for count in owners.values())
         self.unserved_s += seconds * sum(not count for count in owners.values())
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -14,7 +14,7 @@
 from plantaingrade.routing.respond import refuse_malformed
 from standins.backend import BackendSettings, BackendStandIn, ExecutionLog
 from standins.platform import ObjectStandIn, TableStandIn
-from tests.rig import HOST, listening_at
+from tests.harness import HOST, listen_address
 
 DECLARATION = b'services:\n  casebook:\n    slices: 4\n'
 SIZE = 3
@@ -107,7 +107,7 @@
         server = HttpServer(self.clock, respond, refuse_malformed)
         await server.async_listen(HOST, 0)
         self.servers.append(server)
-        return listening_at(server)
+        return listen_address(server)
 
     def _backend(self, number: int) -> BackendStandIn:
         path = str(self.folder / f'{number}.jsonl')
--- a/tests/ownership/test_differential.py
+++ b/tests/ownership/test_differential.py
@@ -49,7 +49,7 @@
     cluster = NaiveCluster(SIZE, SLICES)
     for _ in range(50):
         cluster.step(STEP_S)
-    cluster.double_instants = 0
+    cluster.double_owner_count = 0
     cluster.unserved_s = 0.0
     started_at = cluster.time
     for event in events:
@@ -88,7 +88,7 @@
     """Without faults both designs must serve every slice by one owner."""
     quiet = [{'at': 10.0, 'event': 'end'}]
     naive = _replay_naive(quiet)
-    assert (naive.double_instants, naive.unserved_s) == (0, 0.0)
+    assert (naive.double_owner_count, naive.unserved_s) == (0, 0.0)
     unserved, longest = _replay_ours(quiet)
     assert not unserved
     assert not longest
@@ -101,6 +101,6 @@
     or resumed member serves slices that another member already serves.
     """
     events = _events()
-    assert _replay_naive(events).double_instants > 0
+    assert _replay_naive(events).double_owner_count > 0
     _, longest = _replay_ours(events)
     assert longest < TAKEOVER_LIMIT_S
--- a/tests/ownership/test_takeover.py
+++ b/tests/ownership/test_takeover.py
@@ -60,7 +60,7 @@
     """
     owner = _owner(cluster)
     owner.dead = True
-    took = cluster.until(
+    took = cluster.run_until(
         lambda: _is_taken_over_from(cluster, owner), TAKEOVER_LIMIT_S
     )
     assert took >= LEASE_S / 2
@@ -79,7 +79,9 @@
     cluster.run(60)
     assert _owner(cluster) is owner
     owner.dead = True
-    cluster.until(lambda: _is_taken_over_from(cluster, owner), TAKEOVER_LIMIT_S)
+    cluster.run_until(
+        lambda: _is_taken_over_from(cluster, owner), TAKEOVER_LIMIT_S
+    )
     new_owner = _owner(cluster)
     cluster.run(30)
     assert _owner(cluster) is new_owner
@@ -98,14 +100,14 @@
     The slice must be served again soon after the outage.
     """
     owner = _owner(cluster)
-    successor = cluster.named(owner.state.slices[SLICE].successor)
+    successor = cluster.find_member(owner.state.slices[SLICE].successor)
     cluster.table_up = False
     owner.dead = True
     successor.dead = True
     cluster.run(20)
     assert cluster.owner_of(SLICE) is None
     cluster.table_up = True
-    cluster.until(lambda: cluster.owner_of(SLICE) is not None, 6)
+    cluster.run_until(lambda: cluster.owner_of(SLICE) is not None, 6)
 
 
 def test_paused_owner_detects_that_its_lease_has_ended(
@@ -117,7 +119,9 @@
     """
     owner = _owner(cluster)
     owner.paused = True
-    cluster.until(lambda: _is_taken_over_from(cluster, owner), TAKEOVER_LIMIT_S)
+    cluster.run_until(
+        lambda: _is_taken_over_from(cluster, owner), TAKEOVER_LIMIT_S
+    )
     part = owner.state.slices[SLICE]
     assert isinstance(owner.ownership.ownership_of(part), LeaseLapsed)
     owner.resume()
@@ -147,14 +151,18 @@
     """
     owner = _owner(cluster)
     cluster.isolate(owner)
-    cluster.until(lambda: _is_taken_over_from(cluster, owner), TAKEOVER_LIMIT_S)
+    cluster.run_until(
+        lambda: _is_taken_over_from(cluster, owner), TAKEOVER_LIMIT_S
+    )
 
 
 def test_healed_partition_leaves_one_owner(cluster: FakeCluster) -> None:
     """The old owner must not own slices again when a partition heals."""
     owner = _owner(cluster)
     cluster.isolate(owner)
-    cluster.until(lambda: _is_taken_over_from(cluster, owner), TAKEOVER_LIMIT_S)
+    cluster.run_until(
+        lambda: _is_taken_over_from(cluster, owner), TAKEOVER_LIMIT_S
+    )
     cluster.cut.clear()
     cluster.run(5)
     assert _owner(cluster) is not owner
@@ -173,7 +181,7 @@
     successors = {part.successor for part in owner.state.slices.values()}
     candidates = [name for name in old if name not in successors]
     for name in candidates[:lost]:
-        cluster.named(name).dead = True
+        cluster.find_member(name).dead = True
     cluster.run(6)
     for slice_id in owner.state.slices:
         assert cluster.owner_of(slice_id) is not None
@@ -189,7 +197,7 @@
     """
     cluster = FakeCluster.from_size(5)
     owner = _owner(cluster)
-    witness = cluster.named(owner.row.witnesses[0])
+    witness = cluster.find_member(owner.row.witnesses[0])
     witness.dead = True
     cluster.table_up = False
     restarted = FakeMember(witness.row, cluster)
@@ -210,7 +218,9 @@
     owner = _owner(cluster)
     until = owner.leases.expires_at()
     owner.dead = True
-    cluster.until(lambda: _is_taken_over_from(cluster, owner), TAKEOVER_LIMIT_S)
+    cluster.run_until(
+        lambda: _is_taken_over_from(cluster, owner), TAKEOVER_LIMIT_S
+    )
     assert cluster.time >= until + 0.4
 
 
@@ -226,7 +236,7 @@
         if member.name not in {part.owner, part.successor}
     )
     owner.append(OwnerRequested(SLICE, target.name, 'c1'))
-    cluster.until(lambda: cluster.owner_of(SLICE) is target, 2)
+    cluster.run_until(lambda: cluster.owner_of(SLICE) is target, 2)
 
 
 @pytest.mark.parametrize('victim', ['owner', 'successor', 'target'])
@@ -242,7 +252,7 @@
     """
     owner = _owner(cluster)
     part = owner.state.slices[SLICE]
-    successor = cluster.named(part.successor)
+    successor = cluster.find_member(part.successor)
     target = next(
         member
         for member in cluster.members
@@ -267,7 +277,7 @@
     owner = _owner(cluster)
     cluster.table_up = False
     owner.ownership.handover.leave()
-    took = cluster.until(lambda: _is_taken_over_from(cluster, owner), 1)
+    took = cluster.run_until(lambda: _is_taken_over_from(cluster, owner), 1)
     assert took < LEASE_S
     assert not owner.owned()
 
@@ -286,7 +296,7 @@
     deadline = owner.clock.now() + 1
     in_flight.end(SLICE, may_run_until=deadline)
     owner.append(MoveStarted(SLICE, 'c1'))
-    cluster.until(lambda: _is_taken_over_from(cluster, owner), 3)
+    cluster.run_until(lambda: _is_taken_over_from(cluster, owner), 3)
     assert owner.clock.now() >= deadline
 
 
@@ -294,7 +304,7 @@
     """A drained server must lose all its slices and get no new ones."""
     owner = _owner(cluster)
     owner.append(StateSet(owner.name, MemberState.DRAINING))
-    cluster.until(lambda: not owner.owned(), 3)
+    cluster.run_until(lambda: not owner.owned(), 3)
     cluster.run(2)
     assert not owner.owned()
 
@@ -351,7 +361,7 @@
     epoch = owner.row.epoch
     owner.append(WitnessesReplaced(owner.name, owner.row.witnesses, epoch + 1))
     part = owner.state.slices[SLICE]
-    successor = cluster.named(part.successor)
+    successor = cluster.find_member(part.successor)
     renounced = SuccessorWithdrawn(SLICE, successor.name, part.successor_fence)
     successor.append(renounced)
     successor.append(SuccessorNamed(SLICE, successor.name))
@@ -370,7 +380,7 @@
     """
     owner = _owner(cluster)
     epoch = owner.row.epoch
-    successor = cluster.named(owner.state.slices[SLICE].successor)
+    successor = cluster.find_member(owner.state.slices[SLICE].successor)
     owner.append(WitnessesReplaced(owner.name, owner.row.witnesses, epoch + 1))
     successor.catch_up()
     _prove(successor, owner.name, epoch)
@@ -387,14 +397,16 @@
     """
     owner = _owner(cluster)
     owner.dead = True
-    cluster.until(lambda: _is_taken_over_from(cluster, owner), TAKEOVER_LIMIT_S)
+    cluster.run_until(
+        lambda: _is_taken_over_from(cluster, owner), TAKEOVER_LIMIT_S
+    )
     new_owner = _owner(cluster)
     new_owner.append(*new_owner.ownership.pending_changes())
     for member in cluster.members:
         member.catch_up()
     cluster.table_up = False
     new_owner.dead = True
-    cluster.until(
+    cluster.run_until(
         lambda: _is_taken_over_from(cluster, new_owner), TAKEOVER_LIMIT_S
     )
 
@@ -409,7 +421,7 @@
     were unserved for 13 s.
     """
     owner = _owner(cluster)
-    successor = cluster.named(owner.state.slices[SLICE].successor)
+    successor = cluster.find_member(owner.state.slices[SLICE].successor)
     owner.dead = True
     cluster.isolate(successor)
     successor.clock.true_now += LEASE_S
@@ -428,14 +440,16 @@
     as long as an outage lasts.
     """
     owner = _owner(cluster)
-    successor = cluster.named(owner.state.slices[SLICE].successor)
+    successor = cluster.find_member(owner.state.slices[SLICE].successor)
     cluster.decide = lambda: None
     successor.dead = True
     cluster.run(2)
     assert owner.state.slices[SLICE].successor not in {None, successor.name}
     cluster.table_up = False
     owner.dead = True
-    cluster.until(lambda: _is_taken_over_from(cluster, owner), TAKEOVER_LIMIT_S)
+    cluster.run_until(
+        lambda: _is_taken_over_from(cluster, owner), TAKEOVER_LIMIT_S
+    )
 
 
 def test_old_witnesses_are_required_until_the_successor_accepts(
@@ -459,14 +473,14 @@
     )
     epoch = owner.row.epoch
     for name in successors:
-        servers = (owner.row.server, cluster.named(name).row.server)
+        servers = (owner.row.server, cluster.find_member(name).row.server)
         cluster.cut.add(frozenset(servers))
-    cluster.named(witness).dead = True
-    cluster.until(lambda: owner.row.epoch > epoch, 5)
+    cluster.find_member(witness).dead = True
+    cluster.run_until(lambda: owner.row.epoch > epoch, 5)
     cluster.run(0.1)
     assert owner.leases.holder.epochs[0] == epoch
     cluster.cut.clear()
-    cluster.until(lambda: len(owner.leases.holder.epochs) == 1, 5)
+    cluster.run_until(lambda: len(owner.leases.holder.epochs) == 1, 5)
     assert _owner(cluster) is owner
 
 
@@ -482,7 +496,7 @@
     epoch = owner.row.epoch
     owner.append(WitnessesReplaced(owner.name, owner.row.witnesses, epoch + 1))
     part = owner.state.slices[SLICE]
-    new_owner = cluster.named(part.successor)
+    new_owner = cluster.find_member(part.successor)
     new_owner.append(
         SuccessorWithdrawn(SLICE, new_owner.name, part.successor_fence)
     )
@@ -501,7 +515,7 @@
     that is not leaving.
     """
     owner = _owner(cluster)
-    successor = cluster.named(owner.state.slices[SLICE].successor)
+    successor = cluster.find_member(owner.state.slices[SLICE].successor)
     cluster.table_up = False
     successor.ownership.handover.leave()
     owner.ownership.handover.leave()
@@ -516,11 +530,11 @@
     must send nothing but renewals.
     """
     owner = _owner(cluster)
-    former = cluster.named(owner.row.witnesses[0])
+    former = cluster.find_member(owner.row.witnesses[0])
     epoch = owner.row.epoch
     pair = frozenset((owner.row.server, former.row.server))
     cluster.cut.add(pair)
-    cluster.until(lambda: owner.row.epoch > epoch, 6)
+    cluster.run_until(lambda: owner.row.epoch > epoch, 6)
     cluster.cut.clear()
     cluster.run(8)
     sent = set()
--- a/tests/peers/test_malformed.py
+++ b/tests/peers/test_malformed.py
@@ -55,7 +55,7 @@
     ROWS_WANTED_CODEC,
     TRANSACTION_CODEC,
 )
-from tests.strangers import BAD_BODIES, changed
+from tests.malformed import BAD_BODIES, mutated
 from tests.virtual import LoopClock, run
 
 OWN = Member('s@1', 's', 'a', '127.0.0.1:1', 'b1')
@@ -135,7 +135,7 @@
 def test_changed_messages_are_decoded_or_refused(codec: Codec, message) -> None:
     fields = json.loads(codec.encode(message))
 
-    @given(changed(fields))
+    @given(mutated(fields))
     def decode(changed_fields) -> None:
         try:
             found = codec.decode(json.dumps(changed_fields).encode())
--- a/tests/platform/test_malformed_input.py
+++ b/tests/platform/test_malformed_input.py
@@ -15,8 +15,8 @@
     parse_version,
 )
 from plantaingrade.store.entity import Row, RowName
+from tests.malformed import ANY_JSON, BAD_BODIES, ODD_TEXTS, mutated
 from tests.platform.test_config import ROUTE, make_config
-from tests.strangers import ANY_JSON, BAD_BODIES, ODD_TEXTS, changed
 
 ROW = {
     'table': 't',
@@ -27,7 +27,7 @@
 }
 
 
-@given(changed(make_config()), changed(ROUTE))
+@given(mutated(make_config()), mutated(ROUTE))
 def test_decoded_configuration_is_valid(fields: Any, route: Any) -> None:
     if isinstance(fields.get('routes'), dict):
         fields = {**fields, 'routes': {'r-1': route}}
@@ -55,7 +55,7 @@
         parse_version(text)
 
 
-@given(st.lists(changed(ROW) | ANY_JSON, max_size=4), st.integers(0, 4))
+@given(st.lists(mutated(ROW) | ANY_JSON, max_size=4), st.integers(0, 4))
 def test_valid_rows_are_read_among_bad_ones(bad: list[Any], place: int) -> None:
     """Rows of another writer without a name, value or version lie among ours.
 
--- a/tests/platform/test_reports.py
+++ b/tests/platform/test_reports.py
@@ -16,7 +16,7 @@
 from plantaingrade.http.messages import Request
 from plantaingrade.platform.reports import decode_report
 from plantaingrade.platform.units import UnreadableFieldError
-from tests.strangers import BAD_BODIES, changed
+from tests.malformed import BAD_BODIES, mutated
 
 START_TIME_MS = 1_700_000_000_000
 VALID = {
@@ -164,7 +164,7 @@
         decode_report(request('PUT', '/v1/instances/i-1'), body)
 
 
-@given(changed(VALID))
+@given(mutated(VALID))
 def test_decoded_heartbeat_is_valid(fields: dict[str, Any]) -> None:
     try:
         report = decode(fields)
--- a/tests/routing/test_outcomes.py
+++ b/tests/routing/test_outcomes.py
@@ -9,14 +9,14 @@
 from plantaingrade.http.messages import Data, Request, Response
 from plantaingrade.journal.entity import MemberState
 from plantaingrade.routing.respond import send_plain
-from tests.rig import (
-    Rig,
+from tests.harness import (
+    RouterHarness,
     Upstream,
+    assign_keys_to_peer,
     echo,
     header,
     request,
     status,
-    with_peer,
 )
 
 NEVER = 3600
@@ -64,7 +64,7 @@
     """A caller gets an incomplete response, or no owner to ask next time."""
 
     async def scenario() -> None:
-        async with Rig() as harness:
+        async with RouterHarness() as harness:
             answer = await harness.send(request('POST', body=b'lodge'))
             assert status(answer) == 200
             assert answer.endswith(b'lodge')
@@ -79,7 +79,7 @@
     """A server that checks fences cannot detect a stale grant."""
 
     async def scenario() -> None:
-        async with Rig() as harness:
+        async with RouterHarness() as harness:
             await harness.send(request('POST'))
             headers = dict(harness.upstream.requests[0].headers)
             fence = harness.state.slices['casebook/0'].fence
@@ -98,8 +98,8 @@
     """
 
     async def scenario() -> None:
-        async with Rig() as harness:
-            harness.check_nothing()
+        async with RouterHarness() as harness:
+            harness.disable_fence_checks()
             harness.lease_left_s = 0.5
             await harness.send(request(method, x_request_timeout_ms=60_000))
             headers = dict(harness.upstream.requests[0].headers)
@@ -113,7 +113,7 @@
     """A request runs twice because its response was lost."""
 
     async def scenario() -> None:
-        async with Rig(abort_connection) as harness:
+        async with RouterHarness(abort_connection) as harness:
             answer = await harness.send(request('POST'))
             assert status(answer) == 502
             assert header(answer, b'x-outcome') == b'unknown'
@@ -127,7 +127,7 @@
     """A broken connection fails an idempotent request."""
 
     async def scenario() -> None:
-        async with Rig() as harness:
+        async with RouterHarness() as harness:
             harness.script_once(abort_connection)
             answer = await harness.send(request('GET'))
             assert status(answer) == 200
@@ -140,7 +140,7 @@
     """A device lost the state of a connection; a new one works."""
 
     async def scenario() -> None:
-        async with Rig() as harness:
+        async with RouterHarness() as harness:
             harness.script_once(never_respond)
             answer = await harness.send(request('GET'))
             assert status(answer) == 200
@@ -152,7 +152,7 @@
     """A request whose deadline passes is reported as not run."""
 
     async def scenario() -> None:
-        async with Rig(never_respond) as harness:
+        async with RouterHarness(never_respond) as harness:
             raw = request('POST', x_request_timeout_ms=50)
             answer = await harness.send(raw)
             assert status(answer) == 504
@@ -166,7 +166,7 @@
     """A request that was never sent is not reported as not run."""
 
     async def scenario() -> None:
-        async with Rig() as harness:
+        async with RouterHarness() as harness:
             harness.refuse_connections()
             answer = await harness.send(request('POST'))
             assert status(answer) == 503
@@ -188,7 +188,7 @@
     """A request refused before it ran is not reported as not run."""
 
     async def scenario() -> None:
-        async with Rig(script) as harness:
+        async with RouterHarness(script) as harness:
             answer = await harness.send(request('POST'))
             assert status(answer) == 503
             assert header(answer, b'x-outcome') == b'not-run'
@@ -202,7 +202,7 @@
     """The server mixes up responses, and a caller gets that of another."""
 
     async def scenario() -> None:
-        async with Rig(respond_to_another) as harness:
+        async with RouterHarness(respond_to_another) as harness:
             answer = await harness.send(request('POST', x_request_id='mine'))
             assert header(answer, b'x-outcome') == b'unknown'
             assert b'secret' not in answer
@@ -214,7 +214,7 @@
     """The server stops in the middle of its response."""
 
     async def scenario() -> None:
-        async with Rig(stop_halfway) as harness:
+        async with RouterHarness(stop_halfway) as harness:
             reader, writer = await harness.open()
             writer.write(request('GET'))
             received = b''
@@ -234,7 +234,7 @@
     """The slot of a caller that disconnected stays occupied."""
 
     async def scenario() -> None:
-        async with Rig(never_respond) as harness:
+        async with RouterHarness(never_respond) as harness:
             _, writer = await harness.open()
             writer.write(request('POST'))
             while not harness.upstream.requests:
@@ -251,7 +251,7 @@
     """A request waits although slots and queue are full."""
 
     async def scenario() -> None:
-        async with Rig(never_respond, slots=1) as harness:
+        async with RouterHarness(never_respond, slots=1) as harness:
             writers = []
             for _ in range(5):
                 _, writer = await harness.open()
@@ -273,8 +273,8 @@
     """A caller that sends to the wrong process gets no response."""
 
     async def scenario() -> None:
-        async with Rig() as owner, Rig() as entry:
-            with_peer(entry, owner.address)
+        async with RouterHarness() as owner, RouterHarness() as entry:
+            assign_keys_to_peer(entry, owner.address)
             answer = await entry.send(request('POST', body=b'lodge'))
             assert status(answer) == 200
             assert answer.endswith(b'lodge')
@@ -288,9 +288,13 @@
     """The map of the entry is outdated; the former owner names the new one."""
 
     async def scenario() -> None:
-        async with Rig() as owner, Rig() as former, Rig() as entry:
-            with_peer(entry, former.address)
-            with_peer(former, owner.address)
+        async with (
+            RouterHarness() as owner,
+            RouterHarness() as former,
+            RouterHarness() as entry,
+        ):
+            assign_keys_to_peer(entry, former.address)
+            assign_keys_to_peer(former, owner.address)
             answer = await entry.send(request('POST', body=b'lodge'))
             assert status(answer) == 200
             assert header(answer, b'x-owner') == owner.address.encode()
@@ -303,8 +307,8 @@
     """A forwarded request is forwarded again."""
 
     async def scenario() -> None:
-        async with Rig() as harness:
-            with_peer(harness, '127.0.0.1:9')
+        async with RouterHarness() as harness:
+            assign_keys_to_peer(harness, '127.0.0.1:9')
             answer = await harness.send(request('POST', x_forwarded_hop=1))
             assert status(answer) == 421
             assert header(answer, b'x-outcome') == b'not-run'
@@ -317,7 +321,7 @@
     """The owner runs a request although its lease has lapsed."""
 
     async def scenario() -> None:
-        async with Rig() as harness:
+        async with RouterHarness() as harness:
             harness.lease_left_s = -1
             answer = await harness.send(request('POST'))
             assert status(answer) == 503
@@ -331,7 +335,7 @@
     """A request that has no key yet is sent to a draining server."""
 
     async def scenario() -> None:
-        async with Rig() as harness:
+        async with RouterHarness() as harness:
             harness.state.services['casebook'].keyed = False
             for name in ('b', 'c'):
                 harness.state.members[name].state = MemberState.DRAINING
@@ -346,7 +350,7 @@
     """A request without key fails because one of two servers is gone."""
 
     async def scenario() -> None:
-        async with Rig() as harness:
+        async with RouterHarness() as harness:
             harness.state.services['casebook'].keyed = False
             harness.state.members['b'].http = '127.0.0.1:1'
             harness.state.members['c'].state = MemberState.DRAINING
@@ -361,7 +365,7 @@
     """Each request opens a connection, which takes a millisecond."""
 
     async def scenario() -> None:
-        async with Rig() as harness:
+        async with RouterHarness() as harness:
             for _ in range(5):
                 await harness.send(request('GET'))
             assert harness.pool.opened == 1
@@ -389,7 +393,7 @@
     """An unresponsive connection uses up the short time of a request."""
 
     async def scenario() -> None:
-        async with Rig() as harness:
+        async with RouterHarness() as harness:
             harness.script_once(never_respond)
             answer = await harness.send(
                 request('GET', x_request_timeout_ms=800)
@@ -407,7 +411,7 @@
     """
 
     async def scenario() -> None:
-        async with Rig() as harness:
+        async with RouterHarness() as harness:
             await harness.send(request('GET'))
             opened = harness.pool.opened
             harness.upstream.script = never_respond
--- a/tests/routing/test_waits.py
+++ b/tests/routing/test_waits.py
@@ -4,7 +4,13 @@
 
 from plantaingrade.http.channel import Channel
 from plantaingrade.journal.entity import Ended, MemberState, Proof, Record
-from tests.rig import Rig, header, request, status, with_peer
+from tests.harness import (
+    RouterHarness,
+    assign_keys_to_peer,
+    header,
+    request,
+    status,
+)
 from tests.routing.test_outcomes import never_respond, run
 
 RECORD_WITHOUT_END = Record(1, '', '', ())
@@ -22,8 +28,11 @@
     """
 
     async def scenario() -> None:
-        async with Rig(never_respond) as owner, Rig() as entry:
-            with_peer(entry, owner.address)
+        async with (
+            RouterHarness(never_respond) as owner,
+            RouterHarness() as entry,
+        ):
+            assign_keys_to_peer(entry, owner.address)
             raw = request('POST', x_request_timeout_ms=60_000)
             waiting = asyncio.ensure_future(entry.send(raw))
             while not owner.upstream.requests:
@@ -53,8 +62,11 @@
             await resume.wait()
             channel.transport.write(b'def')
 
-        async with Rig(respond_slowly) as owner, Rig() as entry:
-            with_peer(entry, owner.address)
+        async with (
+            RouterHarness(respond_slowly) as owner,
+            RouterHarness() as entry,
+        ):
+            assign_keys_to_peer(entry, owner.address)
             reader, writer = await entry.open()
             writer.write(request('GET'))
             head = await reader.readuntil(b'\r\n\r\n')
@@ -74,8 +86,11 @@
     """
 
     async def scenario() -> None:
-        async with Rig(never_respond) as owner, Rig() as entry:
-            with_peer(entry, owner.address)
+        async with (
+            RouterHarness(never_respond) as owner,
+            RouterHarness() as entry,
+        ):
+            assign_keys_to_peer(entry, owner.address)
             entry.state.members['b'].state = MemberState.OVER
             entry.state.members['c'].state = MemberState.OVER
             answer = await entry.send(request('POST'))
