--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -1,4 +1,4 @@
-"""Members without I/O, for tests that interleave them step by step."""
+"""A simulated cluster without I/O, for tests that step it explicitly."""
 
 import random
 from collections.abc import Callable
@@ -29,7 +29,7 @@
 
 
 class FakeClock:
-    """A clock that moves only when told, at its own rate."""
+    """Clock that the test advances, with a configurable rate."""
 
     def __init__(self, rate: float = 1.0) -> None:
         """Start at zero."""
@@ -42,8 +42,8 @@
 
 
 @dataclass
-class Letter:
-    """A datagram on its way."""
+class Datagram:
+    """A datagram in flight."""
 
     sender: str
     address: str
@@ -51,10 +51,10 @@
 
 
 class FakeMember:
-    """Leases and ownership of one member over a fake journal and network."""
+    """Leases and ownership of a member on a fake journal and network."""
 
     def __init__(self, row: MemberRow, cluster: 'FakeCluster') -> None:
-        """Join with a copy of the journal as it stands."""
+        """Create the member with an empty state and clock drift up to 0.3 %."""
         self.row = row
         self.cluster = cluster
         self.clock = FakeClock(cluster.random.uniform(0.997, 1.003))
@@ -84,15 +84,15 @@
 
     @property
     def running(self) -> bool:
-        """Tell whether the member takes steps."""
+        """Return whether the member is executed in each step."""
         return not self.paused and not self.dead
 
     def send(self, message: Any, address: str) -> None:
-        """Put a datagram on the network."""
-        self.cluster.network.append(Letter(self.row.udp, address, message))
+        """Queue a datagram for delivery."""
+        self.cluster.network.append(Datagram(self.row.udp, address, message))
 
     def catch_up(self) -> None:
-        """Apply every record of the journal."""
+        """Apply the journal records that this member has not seen."""
         for raw in self.cluster.journal[self.state.generation :]:
             record = RECORDS.decode(raw)
             outcomes = apply_record(self.state, record)
@@ -102,7 +102,7 @@
                 self._follow(change)
 
     def append(self, *changes: Change) -> None:
-        """Append one record, as the coordinator does: from the newest state."""
+        """Append a record based on the newest state."""
         if not self.cluster.table_up:
             return
         self.catch_up()
@@ -113,7 +113,7 @@
             self.catch_up()
 
     def receive(self, message: Any) -> None:
-        """Take a datagram in, or keep it until resumed."""
+        """Handle a datagram, or queue it while paused."""
         if self.dead:
             return
         if self.paused:
@@ -127,7 +127,7 @@
             self.ownership.on_proven(proven, message.epoch)
 
     def resume(self) -> None:
-        """Go on after a pause, with what has queued up meanwhile."""
+        """Resume after a pause and handle the queued datagrams."""
         self.paused = False
         queued = self.inbox
         self.inbox = []
@@ -135,14 +135,14 @@
             self.receive(message)
 
     def tick(self) -> None:
-        """Run every system once."""
+        """Run the periodic work of leases and ownership once."""
         self.leases.tick()
         self.ownership.tick()
         for owner in self.ownership.outdated_proofs():
             self.leases.reopen_poll(owner)
 
     def supervise(self) -> None:
-        """Append what is due."""
+        """Append pending changes, state transitions and new witnesses."""
         changes = self.ownership.pending_changes()
         if changes:
             self.append(*changes)
@@ -157,18 +157,18 @@
             self.append(change)
 
     def is_lost(self) -> bool:
-        """Tell whether this incarnation can never hold a lease again."""
+        """Return whether this incarnation can never hold a lease again."""
         row = self.state.members.get(self.name)
         over = row is None or row.state is MemberState.OVER
         return over or self.leases.holder.is_lost()
 
     def owned(self) -> dict[str, int]:
-        """Return fences of the slices it would serve at this instant."""
+        """Return the fence of each slice that the member would serve now."""
         found = {}
         for part in self.state.slices.values():
-            judgement = self.ownership.ownership_of(part)
-            if isinstance(judgement, Owned):
-                found[part.slice_id] = judgement.fence
+            ownership = self.ownership.ownership_of(part)
+            if isinstance(ownership, Owned):
+                found[part.slice_id] = ownership.fence
         return found
 
     def _follow(self, change: Change) -> None:
@@ -183,7 +183,7 @@
 
 @dataclass
 class FakeCluster:
-    """Members, one journal, one network, one true time."""
+    """Simulated members with a shared journal, network and true time."""
 
     random: random.Random
     slices: int = 4
@@ -193,7 +193,7 @@
     table_up: bool = True
     lose_answers: bool = False
     journal: list[bytes] = field(default_factory=list)
-    network: list[Letter] = field(default_factory=list)
+    network: list[Datagram] = field(default_factory=list)
     members: list[FakeMember] = field(default_factory=list)
     cut: set[frozenset[str]] = field(default_factory=set)
     loss: float = 0.0
@@ -202,9 +202,9 @@
     def from_size(
         cls, size: int, seed: int = 1, **settings: Any
     ) -> 'FakeCluster':
-        """Return a cluster whose slices all have owners and successors."""
-        # Witnesses are chosen by the shared generator; the same seed gives
-        # the same verdict on every run.
+        """Return a cluster in which each slice has owner and successor."""
+        # Witnesses are chosen by the global generator: seed it as well, so
+        # that a seed gives the same result in every run.
         random.seed(seed)
         cluster = cls(random.Random(seed), **settings)
         for number in range(size):
@@ -213,7 +213,7 @@
         return cluster
 
     def join(self, number: int) -> FakeMember:
-        """Add an incarnation of server ``number``."""
+        """Add a new incarnation of server ``number``."""
         name = f's{number}#{len(self.members)}'
         row = MemberRow(
             member=name,
@@ -238,20 +238,23 @@
         return member
 
     def run(self, seconds: float) -> None:
-        """Let time pass; every member ticks, letters arrive at once."""
+        """Advance the simulation in steps and check exclusive ownership."""
         for _ in range(max(1, round(seconds / self.step_s))):
             self.advance(self.step_s)
             self.step()
             self.check()
 
     def advance(self, seconds: float) -> None:
-        """Move the true time."""
+        """Advance the true time and all clocks."""
         self.time += seconds
         for member in self.members:
             member.clock.true_now = self.time
 
     def step(self) -> None:
-        """Let each running member take one step."""
+        """Execute one step of each running member.
+
+        Datagrams are delivered without delay.
+        """
         for member in self.members:
             if member.running:
                 member.tick()
@@ -264,7 +267,7 @@
         self.decide()
 
     def rejoin(self) -> None:
-        """Let members that lost their lease come back, as processes do."""
+        """Replace members that lost their lease by new incarnations."""
         for member in tuple(self.members):
             if member.running and self.table_up and member.is_lost():
                 member.dead = True
@@ -280,7 +283,7 @@
         )
 
     def decide(self) -> None:
-        """Let some running member decide."""
+        """Let a random running member plan the placement."""
         running = [member for member in self.members if member.running]
         if running and self.table_up:
             decider = self.random.choice(running)
@@ -290,29 +293,29 @@
                 decider.append(*changes)
 
     def deliver(self) -> None:
-        """Deliver every letter, unless the network loses it."""
-        letters = self.network
+        """Deliver the datagrams that are not lost or cut off."""
+        datagrams = self.network
         self.network = []
         by_address = {member.row.udp: member for member in self.members}
-        for letter in letters:
-            ends = (letter.sender, letter.address)
-            pair = frozenset(end.split('#')[0] for end in ends)
+        for datagram in datagrams:
+            addresses = (datagram.sender, datagram.address)
+            pair = frozenset(end.split('#')[0] for end in addresses)
             lost = pair in self.cut or self.random.random() < self.loss
-            target = by_address.get(letter.address)
+            target = by_address.get(datagram.address)
             if target is not None and not lost:
-                target.receive(letter.message)
+                target.receive(datagram.message)
 
     def isolate(self, member: FakeMember) -> None:
-        """Cut a member off from every other."""
+        """Drop all datagrams between a member and its peers."""
         for other in self.members:
             if other.row.server != member.row.server:
                 servers = (member.row.server, other.row.server)
                 self.cut.add(frozenset(servers))
 
     def check(self) -> None:
-        """Fail if two members would act on one slice at this instant.
+        """Fail if two members would serve the same slice now.
 
-        Paused members count as if they went on right now.
+        Paused members count as if they were resumed at this time.
         """
         owner_by_slice: dict[str, str] = {}
         for member in self.members:
@@ -323,7 +326,7 @@
                 assert other == member.name, (slice_id, other, member.name)
 
     def owner_of(self, slice_id: str) -> FakeMember | None:
-        """Return who serves a slice now."""
+        """Return the running member that serves a slice, if any."""
         for member in self.members:
             if member.running and slice_id in member.owned():
                 return member
@@ -334,9 +337,12 @@
         return next(each for each in self.members if each.name == member)
 
     def run_until(self, condition: Callable[[], bool], limit: float) -> float:
-        """Run until a condition holds; return the seconds it took."""
-        began = self.time
+        """Run until a condition is true; return the seconds that took.
+
+        Fails after ``limit`` seconds.
+        """
+        started_at = self.time
         while not condition():
-            assert self.time - began < limit, 'never became true'
+            assert self.time - started_at < limit, 'condition still false'
             self.run(0.02)
-        return self.time - began
+        return self.time - started_at
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,4 +1,4 @@
-"""One process's data path on loopback sockets, with a scripted upstream."""
+"""Test harness for the data path, with a scripted backend on loopback."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -29,16 +29,16 @@
 
 
 async def echo(request: Request, body: bytes, channel: Channel) -> None:
-    """Answer with the body, naming the request."""
-    named = dict(request.headers).get(b'x-request-id', b'')
-    send_plain(channel, 200, body or b'fine', ((b'x-request-id', named),))
+    """Respond with the received body and request id."""
+    request_id = dict(request.headers).get(b'x-request-id', b'')
+    send_plain(channel, 200, body or b'fine', ((b'x-request-id', request_id),))
 
 
 class Upstream:
-    """A backend server that does as its script says."""
+    """A backend server that runs a script for each request."""
 
     def __init__(self, script: Script = echo) -> None:
-        """Record what arrives."""
+        """Create the server; received requests are recorded."""
         self.script = script
         self.requests: list[Request] = []
         self.bodies: list[bytes] = []
@@ -62,10 +62,10 @@
 
 
 class RouterHarness:
-    """A router that owns every key, its upstream, and a raw caller."""
+    """A router that owns all keys, its backend server and a raw client."""
 
     def __init__(self, script: Script = echo, slots: int = 4) -> None:
-        """Build the parts; nothing listens yet."""
+        """Create the components without starting them."""
         self.state: MapState = make_state()
         self.clock = BootClock()
         self.upstream = Upstream(script)
@@ -76,7 +76,7 @@
         self.admission = AdmissionQueue(slots)
 
     async def __aenter__(self) -> 'RouterHarness':
-        """Start both sides."""
+        """Start the backend server and the router."""
         backend = await self.upstream.async_start()
         self._build(backend)
         self.server = HttpServer(
@@ -90,42 +90,42 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """Stop both sides."""
+        """Stop the router and the backend server."""
         self.pool.__exit__(None, None, None)
         await self.server.async_close()
         await self.upstream.server.async_close()
 
     def refuse_connections(self) -> None:
-        """Point the router at a port where nobody listens."""
+        """Direct the router to a port that refuses connections."""
         self._build('127.0.0.1:1')
         self.server._serve_request = self.router.async_handle  # noqa: SLF001
 
-    def script_once(self, first: Script) -> None:
-        """Let the upstream do one thing once, and echo from then on."""
+    def script_once(self, script: Script) -> None:
+        """Run a script for the next request, and echo for all later ones."""
 
-        async def once(raw: Request, body: bytes, to: Channel) -> None:
+        async def run_once(raw: Request, body: bytes, to: Channel) -> None:
             self.upstream.script = echo
-            await first(raw, body, to)
+            await script(raw, body, to)
 
-        self.upstream.script = once
+        self.upstream.script = run_once
 
     def disable_fence_checks(self) -> None:
-        """Declare the server as one that does not check fences."""
+        """Mark the server as one that does not check fences."""
         self.row.checks_fence = False
 
     async def send(self, raw: bytes) -> bytes:
-        """Send raw bytes; return all that comes until the end."""
-        reader, writer = await asyncio.open_connection(*self._target())
+        """Send raw bytes; return the response up to the end of stream."""
+        reader, writer = await asyncio.open_connection(*self._host_and_port())
         writer.write(raw)
-        answer = await reader.read()
+        response = await reader.read()
         writer.close()
-        return answer
+        return response
 
     async def open(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """Open a caller's connection."""
-        return await asyncio.open_connection(*self._target())
+        """Open a client connection."""
+        return await asyncio.open_connection(*self._host_and_port())
 
-    def _target(self) -> tuple[str, int]:
+    def _host_and_port(self) -> tuple[str, int]:
         host, _, port = self.address.rpartition(':')
         return host, int(port)
 
@@ -160,7 +160,7 @@
 
 
 def listen_address(server: HttpServer) -> str:
-    """Return the address a server has been given."""
+    """Return the address that a server listens on."""
     host, port = server._server.sockets[0].getsockname()  # noqa: SLF001
     return f'{host}:{port}'
 
@@ -171,7 +171,7 @@
     body: bytes = b'',
     **headers: Any,
 ) -> bytes:
-    """Return a raw request after which the connection ends."""
+    """Return a raw request that asks to close the connection."""
     lines = [f'{method} {target} HTTP/1.1', 'host: x', 'connection: close']
     lines.append(f'content-length: {len(body)}')
     lines.extend(
@@ -180,9 +180,9 @@
     return '\r\n'.join(lines).encode() + b'\r\n\r\n' + body
 
 
-def header(answer: bytes, name: bytes) -> bytes:
-    """Return a header of a raw answer, or nothing."""
-    head = answer.split(b'\r\n\r\n', 1)[0].lower()
+def header(response: bytes, name: bytes) -> bytes:
+    """Return a header of a raw response, or empty bytes."""
+    head = response.split(b'\r\n\r\n', 1)[0].lower()
     for line in head.split(b'\r\n')[1:]:
         key, _, text = line.partition(b': ')
         if key == name:
@@ -190,14 +190,16 @@
     return b''
 
 
-def status(answer: bytes) -> int:
-    """Return the status of a raw answer."""
-    return int(answer.split(b' ', 2)[1])
+def status(response: bytes) -> int:
+    """Return the status code of a raw response."""
+    return int(response.split(b' ', 2)[1])
 
 
-def assign_keys_to_peer(rig: RouterHarness, address: str) -> None:
-    """Let another process, at an address, own every key."""
-    part = rig.state.slices['casebook/0']
+def assign_keys_to_peer(harness: RouterHarness, address: str) -> None:
+    """Make the process at ``address`` the owner of all keys."""
+    part = harness.state.slices['casebook/0']
     part.owner = 'b'
     part.successor = 'c'
-    rig.state.members['b'] = replace(rig.state.members['b'], http=address)
+    harness.state.members['b'] = replace(
+        harness.state.members['b'], http=address
+    )
--- a/tests/malformed.py
+++ b/tests/malformed.py
@@ -1,4 +1,4 @@
-"""What another writer may put in place of a field or of a whole body."""
+"""Malformed fields and bodies, as a faulty writer may produce them."""
 
 from typing import Any
 
@@ -43,7 +43,7 @@
     float('-inf'),
 )
 LEAVES = st.sampled_from((None, True, False, *ODD_TEXTS, *ODD_NUMBERS))
-# Any value that JSON, or what Python takes for JSON, can hold.
+# Any value that Python decodes from JSON, including NaN and infinities.
 ANY_JSON = st.recursive(
     LEAVES,
     lambda inner: (
@@ -52,7 +52,7 @@
     ),
     max_leaves=5,
 )
-# Bytes that no writer of ours produces.
+# Bodies that our encoders never produce.
 BAD_BODIES = (
     b'',
     b'\xff\xfe',
@@ -69,19 +69,19 @@
 )
 
 
-def mutated(good: dict[str, Any]) -> st.SearchStrategy[dict[str, Any]]:
-    """Return good fields of which some are changed or left out."""
-    names = sorted(good)
-    odd = st.dictionaries(st.sampled_from(names), ANY_JSON, max_size=3)
-    dropped = st.sets(st.sampled_from(names), max_size=2)
-    return st.builds(_mutate, st.just(good), odd, dropped)
+def mutated(valid: dict[str, Any]) -> st.SearchStrategy[dict[str, Any]]:
+    """Return a strategy for valid fields with some replaced or removed."""
+    names = sorted(valid)
+    replaced = st.dictionaries(st.sampled_from(names), ANY_JSON, max_size=3)
+    removed = st.sets(st.sampled_from(names), max_size=2)
+    return st.builds(_mutate, st.just(valid), replaced, removed)
 
 
 def _mutate(
-    good: dict[str, Any], odd: dict[str, Any], dropped: set[str]
+    valid: dict[str, Any], replaced: dict[str, Any], removed: set[str]
 ) -> dict[str, Any]:
     return {
-        name: odd.get(name, known)
-        for name, known in good.items()
-        if name not in dropped
+        name: replaced.get(name, original)
+        for name, original in valid.items()
+        if name not in removed
     }
--- a/tests/naive.py
+++ b/tests/naive.py
@@ -1,4 +1,8 @@
-"""A naive router: whoever hears fewer heartbeats than before owns more."""
+"""A naive router that derives ownership from heartbeats alone.
+
+A member that misses heartbeats serves more slices than before. Tests use it
+to show that their scenarios make a router without leases fail.
+"""
 
 from dataclasses import dataclass, field
 
@@ -10,7 +14,7 @@
 
 @dataclass
 class NaiveMember:
-    """Own by static hashing over the members heard of lately."""
+    """Member that owns slices by hashing over recently seen members."""
 
     number: int
     clock: FakeClock = field(default_factory=FakeClock)
@@ -19,7 +23,7 @@
     dead: bool = False
 
     def owned(self, slices: int) -> set[int]:
-        """Return the slices this member would serve now."""
+        """Return the slices that this member would serve now."""
         now = self.clock.now()
         alive = sorted(
             number
@@ -35,7 +39,7 @@
 
 @dataclass
 class NaiveCluster:
-    """Members that hear one another's heartbeats unless cut off."""
+    """Members that exchange heartbeats unless they are cut off."""
 
     size: int
     slices: int
@@ -50,24 +54,28 @@
         self.members = [NaiveMember(number) for number in range(self.size)]
 
     def step(self, seconds: float) -> None:
-        """Let time pass, exchange heartbeats, count what goes wrong."""
+        """Advance the time, exchange heartbeats and count errors."""
         self.time += seconds
         for member in self.members:
             member.clock.true_now = self.time
-        for listener in self.members:
-            self._listen(listener)
-        self._count(seconds)
+        for receiver in self.members:
+            self._receive_heartbeats(receiver)
+        self._count_errors(seconds)
 
-    def _listen(self, listener: NaiveMember) -> None:
-        if listener.paused or listener.dead:
+    def _receive_heartbeats(self, receiver: NaiveMember) -> None:
+        if receiver.paused or receiver.dead:
             return
-        for speaker in self.members:
-            apart = {speaker.number, listener.number} & self.cut
-            alone = speaker.number == listener.number
-            if (alone or not apart) and not speaker.paused and not speaker.dead:
-                listener.heard_at[speaker.number] = self.time
+        for sender in self.members:
+            separated = {sender.number, receiver.number} & self.cut
+            is_self = sender.number == receiver.number
+            if (
+                (is_self or not separated)
+                and not sender.paused
+                and not sender.dead
+            ):
+                receiver.heard_at[sender.number] = self.time
 
-    def _count(self, seconds: float) -> None:
+    def _count_errors(self, seconds: float) -> None:
         owners = dict.fromkeys(range(self.slices), 0)
         for member in self.members:
             if not member.dead and not member.paused:
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,6 +1,6 @@
-"""An event loop whose time passes only while everything waits.
+"""An event loop on virtual time, which advances only while all tasks wait.
 
-Stories of many seconds then run in milliseconds, and always the same way.
+Scenarios of many seconds run in milliseconds and are deterministic.
 """
 
 import asyncio
@@ -9,37 +9,41 @@
 from typing import Any
 
 
-# Least time of a turn of the loop, in seconds: a timer that is due within
-# the clock's resolution fires at once, and whoever waits looks at the time.
+# Minimum time step in seconds. The loop runs timers that are due within the
+# clock resolution at once; without a step, code that waits for a time would
+# read the same time again and again.
 MIN_STEP_S = 1e-8
 
 
 class VirtualSelector(selectors.SelectSelector):
-    """Let time pass instead of waiting."""
+    """Selector that advances the virtual time instead of blocking."""
 
     def __init__(self) -> None:
-        """Start at a time that is not zero, as a boot clock would."""
+        """Start at a non-zero time, like a boot clock."""
         super().__init__()
         self.now = 1000.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Return what is ready; otherwise move the time on."""
+        """Return ready events, or advance the time by the timeout.
+
+        Raises RuntimeError if no timer is pending: the scenario would hang.
+        """
         events = super().select(0)
         if events:
             return events
         if timeout is None:
             raise RuntimeError(
-                'Everything waits for something that never comes'
+                'Deadlock: all tasks wait and no timer is pending'
             )
         self.now += max(MIN_STEP_S, timeout)
         return []
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Event loop on virtual time."""
+    """Event loop that uses virtual time."""
 
     def __init__(self) -> None:
-        """Use a selector that moves the time on."""
+        """Create the loop with a selector that advances the time."""
         self._virtual = VirtualSelector()
         super().__init__(self._virtual)
 
@@ -49,18 +53,18 @@
 
 
 class LoopClock:
-    """Clock that reads the running loop's time."""
+    """Clock that returns the time of the running loop."""
 
     def now(self) -> float:
         """Return the virtual time in seconds."""
         return asyncio.get_running_loop().time()
 
 
-def run(story: Coroutine[Any, Any, Any]) -> Any:
-    """Run a story on virtual time and return its result."""
+def run(scenario: Coroutine[Any, Any, Any]) -> Any:
+    """Run a scenario in virtual time and return its result."""
     loop = VirtualLoop()
     try:
-        return loop.run_until_complete(story)
+        return loop.run_until_complete(scenario)
     finally:
         _end_tasks(loop)
         loop.close()
