--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""Whole system on one machine, with faults, judged from outside."""
+"""Run the whole system on one machine with faults, and verify it."""
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -1,4 +1,4 @@
-"""Run both deployments under load and faults; print a report."""
+"""Run both deployments under load and faults, and print a report."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 from demo.processes import Cluster
 from demo.topology import Deployment, ServerSpec, lisbon, oslo
 from demo.verdict import (
-    Run,
+    Execution,
     Verdict,
     count_cut_off,
     count_ran_twice,
@@ -32,8 +32,8 @@
 
 
 @dataclass(slots=True)
-class Story:
-    """What was done to one deployment, and when."""
+class FaultRecord:
+    """Faults injected into one deployment, and when."""
 
     steady: tuple[float, float] = (0.0, 0.0)
     killed_at: dict[str, float] = field(default_factory=dict)
@@ -42,39 +42,43 @@
     notes: list[str] = field(default_factory=list)
 
 
-async def play(cluster: Cluster, callers: Callers) -> Story:
-    """Kill, drain, freeze, cut off, silence a server; kill in an outage."""
-    story = Story()
+async def inject_faults(cluster: Cluster, callers: Callers) -> FaultRecord:
+    """Inject the faults one after the other.
+
+    One server each is killed, drained, frozen, cut off from the network,
+    silenced, and killed during an outage of the table service.
+    """
+    faults = FaultRecord()
     now = callers.clock.now
     servers = cluster.deployment.servers
     await asyncio.sleep(2)
-    began = now()
+    started_at = now()
     await asyncio.sleep(8)
-    story.steady = (began, now())
-    await _kill(cluster, story, servers[0], now(), 'with its process')
+    faults.steady = (started_at, now())
+    await _kill(cluster, faults, servers[0], now(), 'with its process')
     await asyncio.sleep(6)
-    await _drain(cluster, story, callers, servers[1])
+    await _drain(cluster, faults, callers, servers[1])
     await asyncio.sleep(3)
-    await _freeze(cluster, story, servers[3])
+    await _freeze(cluster, faults, servers[3])
     await asyncio.sleep(4)
-    await _cut(cluster, story, servers[4])
+    await _cut(cluster, faults, servers[4])
     await asyncio.sleep(4)
-    await _silence(cluster, story, servers[5])
+    await _silence(cluster, faults, servers[5])
     await asyncio.sleep(4)
-    await cluster.async_order(cluster.deployment.table, {'down': True})
+    await cluster.async_inject(cluster.deployment.table, {'down': True})
     await asyncio.sleep(2)
-    await _kill(cluster, story, servers[2], now(), 'while the table is down')
+    await _kill(cluster, faults, servers[2], now(), 'while the table is down')
     await asyncio.sleep(5)
-    await cluster.async_order(cluster.deployment.table, {'down': False})
+    await cluster.async_inject(cluster.deployment.table, {'down': False})
     await asyncio.sleep(5)
     callers.stop()
-    story.ended_at = now()
-    return story
+    faults.ended_at = now()
+    return faults
 
 
 async def _kill(
     cluster: Cluster,
-    story: Story,
+    faults: FaultRecord,
     server: ServerSpec,
     at: float,
     how: str,
@@ -82,59 +86,63 @@
     name = server.name
     cluster.signal(f'backend {name}', signal.SIGKILL)
     cluster.signal(f'node {name}', signal.SIGKILL)
-    story.killed_at[name] = at
-    order = {'refused': [f'{server.host}:{port}' for port in (7000, 7002)]}
-    await cluster.async_order(cluster.deployment.network, order)
-    story.notes.append(f'killed {name} {how}')
+    faults.killed_at[name] = at
+    fault = {'refused': [f'{server.host}:{port}' for port in (7000, 7002)]}
+    await cluster.async_inject(cluster.deployment.network, fault)
+    faults.notes.append(f'killed {name} {how}')
 
 
-async def _freeze(cluster: Cluster, story: Story, server: ServerSpec) -> None:
+async def _freeze(
+    cluster: Cluster, faults: FaultRecord, server: ServerSpec
+) -> None:
     names = (f'node {server.name}', f'backend {server.name}')
     for name in names:
         cluster.signal(name, signal.SIGSTOP)
     await asyncio.sleep(FAULT_S)
     for name in names:
         cluster.signal(name, signal.SIGCONT)
-    story.notes.append(f'froze {server.name} for {FAULT_S} s')
+    faults.notes.append(f'froze {server.name} for {FAULT_S} s')
 
 
-async def _cut(cluster: Cluster, story: Story, server: ServerSpec) -> None:
+async def _cut(
+    cluster: Cluster, faults: FaultRecord, server: ServerSpec
+) -> None:
     network = cluster.deployment.network
-    await cluster.async_order(network, {'cut_hosts': [server.host]})
+    await cluster.async_inject(network, {'cut_hosts': [server.host]})
     await asyncio.sleep(FAULT_S)
-    await cluster.async_order(network, {})
-    story.notes.append(f'cut {server.name} off for {FAULT_S} s')
+    await cluster.async_inject(network, {})
+    faults.notes.append(f'cut {server.name} off for {FAULT_S} s')
 
 
 async def _silence(
     cluster: Cluster,
-    story: Story,
+    faults: FaultRecord,
     server: ServerSpec,
 ) -> None:
     network = cluster.deployment.network
-    await cluster.async_order(network, {'silence': [server.host]})
-    story.notes.append(f'silenced the open connections of {server.name}')
+    await cluster.async_inject(network, {'silence': [server.host]})
+    faults.notes.append(f'silenced the open connections of {server.name}')
 
 
 async def _drain(
     cluster: Cluster,
-    story: Story,
+    faults: FaultRecord,
     callers: Callers,
     server: ServerSpec,
 ) -> None:
     name = server.name
-    began = callers.clock.now()
+    started_at = callers.clock.now()
     cluster.signal(f'node {name}', signal.SIGTERM)
-    # The relay must not accept what the process no longer does.
+    # The relay must not accept connections that the process rejects.
     await asyncio.sleep(RELAY_CLOSES_S)
-    order = {'refused': [f'{server.host}:7000']}
-    await cluster.async_order(cluster.deployment.network, order)
+    fault = {'refused': [f'{server.host}:7000']}
+    await cluster.async_inject(cluster.deployment.network, fault)
     code = await cluster.async_wait_exit(f'node {name}', DRAIN_LIMIT_S)
     ended = callers.clock.now()
-    story.drained[name] = (began, ended)
+    faults.drained[name] = (started_at, ended)
     cluster.signal(f'backend {name}', signal.SIGTERM)
-    story.notes.append(
-        f'drained {name} in {ended - began:.2f} s, exit code {code}',
+    faults.notes.append(
+        f'drained {name} in {ended - started_at:.2f} s, exit code {code}',
     )
 
 
@@ -143,37 +151,37 @@
     folder: Path,
     seed: int,
 ) -> Verdict:
-    """Run one deployment from start to verdict."""
+    """Start a deployment, inject faults under load and verify it."""
     folder.mkdir()
     with Cluster(deployment, folder) as cluster:
         await cluster.async_declare()
         await cluster.async_wait_ready()
         callers = Callers(deployment, seed)
         load = asyncio.ensure_future(callers.async_run(WORKERS, RATE))
-        story = await play(cluster, callers)
+        faults = await inject_faults(cluster, callers)
         await load
-    lines = [json.dumps(asdict(each)) for each in callers.told]
+    lines = [json.dumps(asdict(each)) for each in callers.records]
     (folder / 'callers.txt').write_text('\n'.join(lines))
-    (folder / 'story.txt').write_text(json.dumps(asdict(story)))
+    (folder / 'story.txt').write_text(json.dumps(asdict(faults)))
     runs = read_runs(folder)
-    verdict = judge(deployment, callers, runs, story)
-    report(deployment, callers, story, verdict)
+    verdict = verify(deployment, callers, runs, faults)
+    report(deployment, callers, faults, verdict)
     return verdict
 
 
-def judge(
+def verify(
     deployment: Deployment,
     callers: Callers,
-    runs: list[Run],
-    story: Story,
+    runs: list[Execution],
+    faults: FaultRecord,
 ) -> Verdict:
-    """Compare both sides' records."""
-    told = callers.told
+    """Compare the records of callers and servers."""
+    records = callers.records
     ran = {run.request_id for run in runs}
-    answered = [each for each in told if each.outcome == 'answered']
-    gaps = key_gaps(told, story.ended_at)
-    p50, p99 = percentiles(told)
-    moved = {each.slice_id for each in told if each.slice_id}
+    answered = [each for each in records if each.outcome == 'answered']
+    gaps = key_gaps(records, faults.ended_at)
+    p50, p99 = percentiles(records)
+    moved = {each.slice_id for each in records if each.slice_id}
     owners = {
         slice_id: {
             each.server for each in answered if each.slice_id == slice_id
@@ -182,31 +190,31 @@
     }
     direct = [each for each in answered if each.owner == each.contacted]
     return Verdict(
-        requests=len(told),
+        requests=len(records),
         answered=len(answered),
-        not_run=sum(each.outcome == 'not-run' for each in told),
-        unknown=sum(each.outcome == 'unknown' for each in told),
-        wrong_answers=sum(not each.whole for each in told)
-        + sum(each.outcome == 'none' for each in told)
+        not_run=sum(each.outcome == 'not-run' for each in records),
+        unknown=sum(each.outcome == 'unknown' for each in records),
+        wrong_answers=sum(not each.whole for each in records)
+        + sum(each.outcome == 'none' for each in records)
         + sum(each.request_id not in ran for each in answered),
-        two_owners=count_two_owners(runs, story.killed_at),
+        two_owners=count_two_owners(runs, faults.killed_at),
         ran_twice=count_ran_twice(runs),
         not_run_but_ran=sum(
             each.outcome == 'not-run' and each.request_id in ran
-            for each in told
+            for each in records
         ),
         cut_off_by_drain=count_cut_off(
             [
-                (server.name, server.http, *story.drained[server.name])
+                (server.name, server.http, *faults.drained[server.name])
                 for server in deployment.servers
-                if server.name in story.drained
+                if server.name in faults.drained
             ],
             runs,
-            told,
+            records,
         ),
         unavailable_key_seconds=sum(map(sum, gaps.values())),
         longest_key_gap_s=max(map(max, gaps.values()), default=0.0),
-        imbalance=imbalance(deployment, runs, story.steady),
+        imbalance=imbalance(deployment, runs, faults.steady),
         churn=sum(len(each) - 1 for each in owners.values()) / len(owners),
         direct_share=len(direct) / len(answered),
         p50_ms=p50,
@@ -217,15 +225,15 @@
 def report(
     deployment: Deployment,
     callers: Callers,
-    story: Story,
+    faults: FaultRecord,
     verdict: Verdict,
 ) -> None:
-    """Print what happened, for people."""
+    """Print faults, failed requests and measures as text."""
     print(f'== {deployment.name}')
-    for note in story.notes:
+    for note in faults.notes:
         print(f'   {note}')
     reasons: dict[str, int] = {}
-    for each in callers.told:
+    for each in callers.records:
         if each.outcome != 'answered':
             name = f'{each.outcome} ({each.reason})'
             reasons[name] = reasons.get(name, 0) + 1
@@ -236,7 +244,7 @@
 
 
 def combine(verdicts: list[Verdict]) -> Verdict:
-    """Add counts up, and take the worst of the other measures."""
+    """Sum up the counts, and take the worst of the other measures."""
     added = {
         name
         for name, figure in asdict(verdicts[0]).items()
@@ -262,13 +270,13 @@
         run_deployment(oslo(), folder / 'oslo', 2),
     )
     total = combine(list(verdicts))
-    broken = total.broken_promises()
-    if broken:
-        print(f'Broken: {", ".join(broken)}; records are in {folder}')
+    violated = total.violated_guarantees()
+    if violated:
+        print(f'Broken: {", ".join(violated)}; records are in {folder}')
     else:
         shutil.rmtree(folder)
     print(json.dumps(asdict(total)))
-    return 1 if broken else 0
+    return 1 if violated else 0
 
 
 if __name__ == '__main__':
--- a/demo/callers.py
+++ b/demo/callers.py
@@ -1,4 +1,4 @@
-"""Callers that learn owners, and write down all they are told."""
+"""Callers that learn owners, and record each response."""
 
 import asyncio
 import hashlib
@@ -18,15 +18,15 @@
 
 CALLER_HOST = '127.3.0.1'
 TIMEOUT_MS = 2000
-# What a caller waits beyond the time it asked for.
-PATIENCE_MS = 100
-ASIDE_S = 3.0
+# Time that a caller waits beyond the timeout in its request.
+EXTRA_WAIT_MS = 100
+AVOID_SILENT_S = 3.0
 OK = 200
 
 
 @dataclass(slots=True)
-class Told:
-    """What a caller was told about one request."""
+class RequestRecord:
+    """The outcome of one request as its caller received it."""
 
     request_id: str
     service: str
@@ -47,8 +47,8 @@
 
 
 @dataclass(slots=True)
-class Router:
-    """A caller's copy of the routes, corrected by every answer."""
+class RouteCache:
+    """A caller's cached routes, updated by every response."""
 
     deployment: Deployment
     clock: BootClock
@@ -60,13 +60,13 @@
     def pick(self, service: str, key: str) -> tuple[str, str]:
         """Return the slice of a key and the process to contact."""
         if not key:
-            return '', self.any_entry()
+            return '', self.any_process()
         count = self.slices_by_service[service]
         slice_id = range_slice_id(service, slice_index(key, count))
-        return slice_id, self.owner_by_slice.get(slice_id) or self.any_entry()
+        return slice_id, self.owner_by_slice.get(slice_id) or self.any_process()
 
-    def any_entry(self) -> str:
-        """Return some process."""
+    def any_process(self) -> str:
+        """Return a random process that neither refused nor was silent."""
         servers = [
             server.http
             for server in self.deployment.servers
@@ -76,37 +76,37 @@
         return random.choice(servers)
 
     def learn(self, slice_id: str, owner: str) -> None:
-        """Remember who answered."""
+        """Record the owner of a slice."""
         if slice_id and owner:
             self.owner_by_slice[slice_id] = owner
 
     def forget(self, slice_id: str) -> None:
-        """Distrust what was known."""
+        """Remove the cached owner of a slice."""
         self.owner_by_slice.pop(slice_id, None)
 
 
 class Callers:
-    """Send requests of every kind and keep a record of each."""
+    """Send requests of every kind and record each outcome."""
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
-        """Prepare callers of one deployment."""
+        """Create the callers of one deployment."""
         self.clock = BootClock()
-        self.router = Router(deployment, self.clock)
-        self.router.slices_by_service = {
+        self.routes = RouteCache(deployment, self.clock)
+        self.routes.slices_by_service = {
             each.name: each.slices for each in deployment.services
         }
-        self.told: list[Told] = []
+        self.records: list[RequestRecord] = []
         self._deployment = deployment
         self._pool = Pool(self.clock, CALLER_HOST)
         self._random = random.Random(seed)
         self._stopped = False
 
     def stop(self) -> None:
-        """End the load after the requests in flight."""
+        """Stop the load; requests in flight are completed."""
         self._stopped = True
 
     async def async_run(self, workers: int, rate_per_worker: float) -> None:
-        """Send mixed requests, and probe one key of each slice."""
+        """Send mixed requests, and probe one key in each slice."""
         async with asyncio.TaskGroup() as group:
             for _ in range(workers):
                 group.create_task(self._work(rate_per_worker))
@@ -119,19 +119,19 @@
         while not self._stopped:
             await asyncio.sleep(self._random.expovariate(rate))
             service = self._random.choice(self._deployment.services)
-            rank = int(self._random.paretovariate(1.1))
-            keyless = not service.keyed and self._flip()
-            key = '' if keyless else f'{service.name}-{rank % 5000}'
+            key_number = int(self._random.paretovariate(1.1))
+            keyless = not service.keyed and self._random_bool()
+            key = '' if keyless else f'{service.name}-{key_number % 5000}'
             method = self._random.choice(('GET', 'GET', 'POST', 'PUT'))
             await self.async_send(service.name, key, method)
 
     async def _probe(self, service: str, key: str) -> None:
         await asyncio.sleep(self._random.random() * PROBE_EVERY_S)
         while not self._stopped:
-            began = self.clock.now()
-            method = 'POST' if self._flip() else 'GET'
+            started_at = self.clock.now()
+            method = 'POST' if self._random_bool() else 'GET'
             await self.async_send(service, key, method, probe=True)
-            spent = self.clock.now() - began
+            spent = self.clock.now() - started_at
             await asyncio.sleep(max(0.0, PROBE_EVERY_S - spent))
 
     async def async_send(
@@ -141,9 +141,9 @@
         method: str,
         *,
         probe: bool = False,
-    ) -> Told:
+    ) -> RequestRecord:
         """Send one request and record its outcome."""
-        slice_id, contacted = self.router.pick(service, key)
+        slice_id, contacted = self.routes.pick(service, key)
         request_id = uuid.uuid4().hex
         body = b'' if method == 'GET' else request_id.encode() * 8
         limit_ms = PROBE_TIMEOUT_MS if probe else TIMEOUT_MS
@@ -160,7 +160,7 @@
             ),
             body,
         )
-        told = Told(
+        record = RequestRecord(
             request_id=request_id,
             service=service,
             key=key,
@@ -173,55 +173,59 @@
             contacted=contacted,
             probe=probe,
         )
-        await self._exchange(call, told, limit_ms + PATIENCE_MS)
-        told.done_at = self.clock.now()
-        self.told.append(told)
-        if told.outcome == 'answered':
-            self.router.learn(slice_id, told.owner)
+        await self._exchange(call, record, limit_ms + EXTRA_WAIT_MS)
+        record.done_at = self.clock.now()
+        self.records.append(record)
+        if record.outcome == 'answered':
+            self.routes.learn(slice_id, record.owner)
         else:
-            self.router.forget(slice_id)
-        return told
+            self.routes.forget(slice_id)
+        return record
 
-    async def _exchange(self, call: Call, told: Told, limit_ms: int) -> None:
+    async def _exchange(
+        self, call: Call, record: RequestRecord, limit_ms: int
+    ) -> None:
         try:
             async with asyncio.timeout(limit_ms / 1000):
                 reply = await fetch(self._pool, call)
         except ConnectFailedError:
-            # Like any client with several addresses: not this one again.
-            self.router.refused.add(call.address)
-            told.outcome = 'not-run'
-            told.reason = 'caller-connect'
+            # Like any client with several addresses, don't retry this one.
+            self.routes.refused.add(call.address)
+            record.outcome = 'not-run'
+            record.reason = 'caller-connect'
             return
         except (ChannelClosedError, LocalProtocolError):
-            told.reason = 'caller-broken'
+            record.reason = 'caller-broken'
             return
         except TimeoutError:
-            # Nor one that keeps silent, for a while.
-            until = self.clock.now() + ASIDE_S
-            self.router.silent_until[call.address] = until
-            told.reason = 'caller-timeout'
+            # Avoid an address that does not respond for some seconds.
+            until = self.clock.now() + AVOID_SILENT_S
+            self.routes.silent_until[call.address] = until
+            record.reason = 'caller-timeout'
             return
-        self._judge(reply, told, call.body)
+        self._record_reply(reply, record, call.body)
 
-    def _flip(self) -> bool:
+    def _random_bool(self) -> bool:
         return bool(self._random.getrandbits(1))
 
-    def _judge(self, reply: Reply, told: Told, body: bytes) -> None:
+    def _record_reply(
+        self, reply: Reply, record: RequestRecord, body: bytes
+    ) -> None:
         headers = reply.headers
-        told.outcome = headers.get(b'x-outcome', b'none').decode()
-        told.reason = headers.get(b'x-reason', b'').decode()
-        told.owner = headers.get(b'x-owner', b'').decode()
-        told.retry_after = headers.get(b'retry-after', b'').decode()
-        if told.outcome != 'answered':
+        record.outcome = headers.get(b'x-outcome', b'none').decode()
+        record.reason = headers.get(b'x-reason', b'').decode()
+        record.owner = headers.get(b'x-owner', b'').decode()
+        record.retry_after = headers.get(b'retry-after', b'').decode()
+        if record.outcome != 'answered':
             return
         answer = json.loads(reply.body) if reply.status == OK else {}
-        told.server = answer.get('server', '')
-        told.whole = (
-            answer.get('id') == told.request_id
-            and answer.get('key') == told.key
+        record.server = answer.get('server', '')
+        record.whole = (
+            answer.get('id') == record.request_id
+            and answer.get('key') == record.key
             and answer.get('body') == hashlib.blake2b(body).hexdigest()
             and answer.get('digest')
-            == digest(told.request_id, told.key, answer['filler'])
+            == digest(record.request_id, record.key, answer['filler'])
         )
 
 
@@ -230,7 +234,7 @@
 
 
 def probe_key(service: str, index: int, count: int) -> str:
-    """Return a key that lies in a given slice."""
+    """Return a key that belongs to a slice."""
     number = 0
     while True:
         key = f'{service}-probe-{number}'
--- a/demo/processes.py
+++ b/demo/processes.py
@@ -24,7 +24,7 @@
 
 
 class StartFailedError(PlantaingradeError):
-    """Report that the system did not become ready."""
+    """Raised if the system does not become ready in time."""
 
     advice = 'See the logs named above.'
 
@@ -38,7 +38,7 @@
         folder: Path,
         work_ms: float = 4.0,
     ) -> None:
-        """Keep logs and the servers' records in a folder."""
+        """Store logs and the records of servers in ``folder``."""
         self._work_ms = work_ms
         self.deployment = deployment
         self.folder = folder
@@ -46,7 +46,7 @@
         self.pool = Pool(BootClock(), '127.3.0.2')
 
     def __enter__(self) -> 'Cluster':
-        """Start everything."""
+        """Start all processes."""
         self._start_platform()
         for server in self.deployment.servers:
             self.start_backend(server)
@@ -59,7 +59,7 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Kill everything that still runs."""
+        """Kill all processes that still run."""
         for process in self._process_by_name.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -115,7 +115,7 @@
         return self._process_by_name[name].pid
 
     async def async_wait_exit(self, name: str, limit_s: float) -> int | None:
-        """Return the exit code, or nothing if it still runs."""
+        """Return the exit code, or None if it still runs after ``limit_s``."""
         process = self._process_by_name[name]
         waited = 0.0
         while process.poll() is None and waited < limit_s:
@@ -123,9 +123,9 @@
             waited += POLL_S
         return process.poll()
 
-    async def async_order(self, address: str, order: dict[str, Any]) -> None:
-        """Order faults of a stand-in."""
-        body = json.dumps(order).encode()
+    async def async_inject(self, address: str, fault: dict[str, Any]) -> None:
+        """Set the faults of a stand-in."""
+        body = json.dumps(fault).encode()
         await fetch(self.pool, Call('POST', address, '/-/fault', body=body))
 
     async def async_ask(self, server: ServerSpec, statement: str) -> Any:
@@ -158,7 +158,7 @@
         return json.loads(reply.body)
 
     async def async_declare(self) -> None:
-        """Bring the declarations into force as soon as a process listens."""
+        """Apply the declarations, retrying until a process listens."""
         text = self.deployment.declaration().encode()
         first = self.deployment.servers[0]
         for _ in range(int(START_LIMIT_S / POLL_S)):
@@ -195,14 +195,14 @@
             ]
         except (ChannelClosedError, ConnectFailedError, TimeoutError):
             return False
-        everyone = len(servers) == len(self.deployment.servers)
-        steady = all(
+        all_known = len(servers) == len(self.deployment.servers)
+        settled = all(
             part['owner'] and part['successor'] and not part['wanted_owner']
             for part in slices
         )
         ready = all(row['state'] == 'ready' for row in servers)
         witnessed = all(len(row['witnesses']) == WITNESSES for row in servers)
-        return everyone and ready and steady and witnessed
+        return all_known and ready and settled and witnessed
 
     async def _call(self, call: Call) -> Reply:
         async with asyncio.timeout(CALL_TIMEOUT_S):
--- a/demo/topology.py
+++ b/demo/topology.py
@@ -1,4 +1,4 @@
-"""Who runs where, at today's sizes."""
+"""Deployments of the demo: services, servers, zones and addresses."""
 
 from dataclasses import dataclass, field
 
@@ -18,12 +18,12 @@
 
     @property
     def http(self) -> str:
-        """Return where callers and peers reach the process."""
+        """Return the address of the process for callers and peers."""
         return f'{self.relay_host}:7000'
 
     @property
     def backend(self) -> str:
-        """Return where the backend server listens."""
+        """Return the address of the backend server."""
         return f'{self.host}:8000'
 
 
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Deployment:
-    """One user's installation."""
+    """The installation of one user."""
 
     name: str
     block: int
@@ -66,11 +66,11 @@
 
     @property
     def network(self) -> str:
-        """Return where the network stand-in takes orders."""
+        """Return the control address of the network stand-in."""
         return f'127.9.{self.block}.2:9002'
 
     def place_servers(self) -> 'Deployment':
-        """Spread the workers of each service over the zones."""
+        """Distribute the servers of each service evenly over the zones."""
         for service in self.services:
             for number in range(service.workers):
                 index = len(self.servers) + 1
--- a/demo/verdict.py
+++ b/demo/verdict.py
@@ -1,4 +1,4 @@
-"""Compare what callers were told with what servers ran."""
+"""Compare the responses to callers with the executions on servers."""
 
 import json
 from collections import Counter, defaultdict
@@ -6,7 +6,7 @@
 from pathlib import Path
 from statistics import quantiles
 
-from demo.callers import Told
+from demo.callers import RequestRecord
 from demo.topology import Deployment
 
 SAFE = 'GET'
@@ -14,8 +14,8 @@
 
 
 @dataclass(slots=True)
-class Run:
-    """One execution in a backend server's record."""
+class Execution:
+    """One execution of a request, as a backend server recorded it."""
 
     request_id: str
     method: str
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """Counts of one run; the promises are those that must be zero."""
+    """Counts and measures of one run; the guarantees must hold."""
 
     requests: int = 0
     answered: int = 0
@@ -49,8 +49,8 @@
     p50_ms: float = 0.0
     p99_ms: float = 0.0
 
-    def broken_promises(self) -> list[str]:
-        """Return the names of the promises that did not hold."""
+    def violated_guarantees(self) -> list[str]:
+        """Return the names of the guarantees that were violated."""
         zero = (
             'wrong_answers',
             'two_owners',
@@ -58,23 +58,23 @@
             'not_run_but_ran',
             'cut_off_by_drain',
         )
-        broken = [name for name in zero if getattr(self, name)]
+        violated = [name for name in zero if getattr(self, name)]
         if self.longest_key_gap_s > 2:
-            broken.append('longest_key_gap_s')
-        return broken
+            violated.append('longest_key_gap_s')
+        return violated
 
 
-def read_runs(folder: Path) -> list[Run]:
-    """Return the executions that the servers recorded."""
-    runs: dict[tuple[str, str, int], Run] = {}
+def read_runs(folder: Path) -> list[Execution]:
+    """Return the recorded executions in order of their start."""
+    runs: dict[tuple[str, str, int], Execution] = {}
     count: Counter[tuple[str, str]] = Counter()
     for path in sorted(folder.glob('*.jsonl')):
         for line in path.read_text().splitlines():
             fields = json.loads(line)
-            place = (fields['server'], fields['id'])
+            location = (fields['server'], fields['id'])
             if fields['event'] == 'start':
-                count[place] += 1
-                runs[*place, count[place]] = Run(
+                count[location] += 1
+                runs[*location, count[location]] = Execution(
                     fields['id'],
                     fields['method'],
                     fields['key'],
@@ -84,20 +84,20 @@
                     fields['at'],
                 )
             else:
-                run = runs[*place, count[place]]
+                run = runs[*location, count[location]]
                 run.ended_at = fields['at']
                 run.ending = fields['event']
     return sorted(runs.values(), key=lambda run: run.started_at)
 
 
-def count_two_owners(runs: list[Run], killed_at: dict[str, float]) -> int:
+def count_two_owners(runs: list[Execution], killed_at: dict[str, float]) -> int:
     """Count writes to one key that ran while another server owned it.
 
-    Either two servers worked on the key at one time, or a write under an
-    older fence began after one under a newer fence.
+    Either two servers executed writes to the key at the same time, or a write
+    with an older fence started after one with a newer fence.
     """
     found = 0
-    runs_by_key: dict[str, list[Run]] = defaultdict(list)
+    runs_by_key: dict[str, list[Execution]] = defaultdict(list)
     for run in runs:
         if run.key and run.method != SAFE:
             runs_by_key[run.slice_id.split('/')[0] + run.key].append(run)
@@ -117,7 +117,7 @@
     return found
 
 
-def count_ran_twice(runs: list[Run]) -> int:
+def count_ran_twice(runs: list[Execution]) -> int:
     """Count non-idempotent requests with more than one execution."""
     count = Counter(run.request_id for run in runs if run.method == 'POST')
     return sum(each > 1 for each in count.values())
@@ -125,37 +125,42 @@
 
 def count_cut_off(
     drains: list[tuple[str, str, float, float]],
-    runs: list[Run],
-    told: list[Told],
+    runs: list[Execution],
+    records: list[RequestRecord],
 ) -> int:
-    """Count requests that a planned stop cut off, seen from both sides.
+    """Count requests that a drain interrupted, as seen from both sides.
 
-    A drain is the server's name, its process's address, and both times.
+    A drain consists of the name of the server, the address of its process, and
+    the start and end time.
     """
     found = 0
-    for name, http, began, ended in drains:
+    for name, address, started_at, ended in drains:
         found += sum(
-            run.server == name and run.ended_at >= began and run.ending != 'end'
+            run.server == name
+            and run.ended_at >= started_at
+            and run.ending != 'end'
             for run in runs
         )
         found += sum(
-            each.contacted == http
+            each.contacted == address
             and each.outcome == 'unknown'
-            and began <= each.done_at
+            and started_at <= each.done_at
             and each.sent_at <= ended
-            for each in told
+            for each in records
         )
     return found
 
 
-def key_gaps(told: list[Told], until: float) -> dict[str, list[float]]:
+def key_gaps(
+    records: list[RequestRecord], until: float
+) -> dict[str, list[float]]:
     """Return the gaps of each probed key, in seconds.
 
-    A gap lasts from the end of the last answer before a failure to the end
-    of the first answer after it, so it is never shorter than the outage.
+    A gap lasts from the end of the last answer before a failure to the end of
+    the first answer after it, so it is never shorter than the outage.
     """
-    by_key: dict[str, list[Told]] = defaultdict(list)
-    for each in sorted(told, key=lambda one: one.done_at):
+    by_key: dict[str, list[RequestRecord]] = defaultdict(list)
+    for each in sorted(records, key=lambda one: one.done_at):
         if each.probe:
             by_key[f'{each.service}/{each.key}'].append(each)
     return {
@@ -165,7 +170,7 @@
     }
 
 
-def _gaps_of(probes: list[Told], until: float) -> list[float]:
+def _gaps_of(probes: list[RequestRecord], until: float) -> list[float]:
     gaps = []
     last_good = probes[0].sent_at
     failed = False
@@ -182,10 +187,10 @@
 
 def imbalance(
     deployment: Deployment,
-    runs: list[Run],
+    runs: list[Execution],
     window: tuple[float, float],
 ) -> float:
-    """Return the worst service's maximum over mean load per slot."""
+    """Return the maximum over mean load per slot of the worst service."""
     worst = 0.0
     for service in deployment.services:
         servers = [
@@ -202,12 +207,12 @@
     return worst
 
 
-def percentiles(told: list[Told]) -> tuple[float, float]:
-    """Return the median and the 99th percentile of answers, in ms."""
-    spent = [
+def percentiles(records: list[RequestRecord]) -> tuple[float, float]:
+    """Return median and 99th percentile of the latency in ms."""
+    durations = [
         (each.done_at - each.sent_at) * 1000
-        for each in told
+        for each in records
         if each.outcome == 'answered'
     ]
-    cuts = quantiles(spent, n=PERCENTILES)
+    cuts = quantiles(durations, n=PERCENTILES)
     return cuts[PERCENTILES // 2 - 1], cuts[-1]
