--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks; they measure and judge nothing."""
+"""Benchmarks. They print measurements and check no limits."""
--- a/bench/binary.py
+++ b/bench/binary.py
@@ -1,4 +1,4 @@
-"""Start time and memory of the one-file binary."""
+"""Measure start time and memory of the single-file binary."""
 
 import asyncio
 import json
@@ -20,7 +20,7 @@
 
 
 async def main() -> None:
-    """Run the binary until it answers, and look at its process."""
+    """Run the binary until it answers, and print metrics of its process."""
     pool = Pool(BootClock())
     with tempfile.TemporaryDirectory() as folder:
         platform = subprocess.Popen(
@@ -33,7 +33,7 @@
             ],
         )
         await asyncio.sleep(1.5)
-        began = perf_counter()
+        started_at = perf_counter()
         process = subprocess.Popen(
             [
                 sys.executable,
@@ -58,8 +58,8 @@
         try:
             while not await ask(pool, f'{HOST}:7000', '/-/status'):
                 await asyncio.sleep(0.01)
-            figures = {
-                'start_s': perf_counter() - began,
+            metrics = {
+                'start_s': perf_counter() - started_at,
                 'resident_mb': resident_mb(process.pid),
                 'children': _children(process.pid),
                 'files_left': len(list(Path(folder).iterdir())),
@@ -67,7 +67,7 @@
             }
         finally:
             _stop(process, platform)
-    print(json.dumps(figures))
+    print(json.dumps(metrics))
 
 
 def _stop(*processes: subprocess.Popen[bytes]) -> None:
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,4 +1,4 @@
-"""Slopes from which docs/CAPACITY.md works out the two-year size."""
+"""Measure cost by cluster size, for the projection in docs/CAPACITY.md."""
 
 import json
 from dataclasses import asdict, dataclass
@@ -23,13 +23,13 @@
 
 SIZES = (66, 132, 264, 530)
 SLICES_PER_NODE = 16
-TWO_YEARS = 530
+TWO_YEAR_NODES = 530
 SERVICE = 'casebook'
 
 
 @dataclass(slots=True)
-class Figures:
-    """What one size costs."""
+class Measurement:
+    """Memory and processor time at one cluster size."""
 
     nodes: int
     map_bytes: int
@@ -42,14 +42,14 @@
 
 
 def append(state: MapState, *changes: object) -> Record:
-    """Apply one record and return it."""
+    """Apply a record with the changes and return it."""
     record = Record(state.generation + 1, 'w' * 32, 'bench#1', changes)
     apply_record(state, record)
     return record
 
 
 def make_map(nodes: int) -> MapState:
-    """Return a map in which every slice has owner and successor."""
+    """Return a map in which each slice has an owner and a successor."""
     state = MapState()
     service = ServiceRow(SERVICE, nodes * SLICES_PER_NODE, True, 400)
     append(state, DeclarationApplied('', 0, (service,)))
@@ -74,8 +74,8 @@
     return state
 
 
-def measure(nodes: int) -> Figures:
-    """Measure one size."""
+def measure(nodes: int) -> Measurement:
+    """Measure one cluster size."""
     size, state = allocated(lambda: make_map(nodes))
     row = next(iter(state.members.values()))
     clock = BootClock()
@@ -92,7 +92,7 @@
     for part in loss.slices.values():
         if part.successor == row.member:
             part.successor = None
-    return Figures(
+    return Measurement(
         nodes=nodes,
         map_bytes=size,
         snapshot_bytes=len(STATE_CODEC.encode(state)),
@@ -105,14 +105,14 @@
 
 
 def main() -> None:
-    """Print figures, slopes, and each line's value at the two-year size."""
+    """Print measurements, fitted lines and their values at two-year size."""
     measured = [measure(size) for size in SIZES]
-    for figures in measured:
-        print(json.dumps(asdict(figures)))
+    for measurement in measured:
+        print(json.dumps(asdict(measurement)))
     for name in asdict(measured[0]):
         line = Line.through(
-            [figures.nodes for figures in measured],
-            [getattr(figures, name) for figures in measured],
+            [measurement.nodes for measurement in measured],
+            [getattr(measurement, name) for measurement in measured],
         )
         print(
             json.dumps(
@@ -120,7 +120,7 @@
                     'figure': name,
                     'base': line.base,
                     'per_node': line.slope,
-                    'at_530': line.at(TWO_YEARS),
+                    'at_530': line.at(TWO_YEAR_NODES),
                 }
             ),
         )
--- a/bench/cpu.py
+++ b/bench/cpu.py
@@ -1,9 +1,9 @@
-"""Processor time of one process: at rest, and for a request on each way.
+"""Measure processor time of a process when idle and per request on each path.
 
-Each process has a thread with a loop of its own, whose processor time is read
-apart from that of the callers and stand-ins. Requests come evenly and slowly
-enough that each is logged, as on the platform. ``--profile`` prints where the
-time of one process goes instead.
+Each process runs in a thread with a separate event loop, so its processor time
+is measured without that of callers and stand-ins. Requests are sent at a
+constant rate that is low enough for each one to be logged, as on the platform.
+``--profile`` prints a profile of one process instead.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
 PAUSE_S = 1 / 120
 LINES_SHOWN = 60
 MODULES_SHOWN = 32
-# What the platform's callers send beside the headers that it names.
+# Headers that callers send in addition to those of the platform.
 CALLER_HEADERS = (
     ('user-agent', 'sdk-client/1.9.3'),
     ('accept', '*/*'),
@@ -41,10 +41,10 @@
 
 
 class Host:
-    """A thread that runs one process in a loop of its own."""
+    """A thread that runs one process in a separate event loop."""
 
     def __init__(self, rig: Rig, place: Place, log: EventLog) -> None:
-        """Prepare the thread."""
+        """Start the thread."""
         self._rig = rig
         self._place = place
         self._log = log
@@ -62,7 +62,7 @@
         return time.clock_gettime(number)
 
     def call(self, act) -> None:
-        """Have the thread do something."""
+        """Schedule a callback in the loop of the thread."""
         self._loop.call_soon_threadsafe(act)
 
     def end(self) -> None:
@@ -86,16 +86,16 @@
 
 
 class CpuRig(Rig):
-    """A rig whose processes run in threads."""
+    """A test harness that runs each process in a thread."""
 
     def __init__(self, net: int) -> None:
-        """Prepare hosts."""
+        """Create a harness without processes."""
         super().__init__(net)
         self.hosts: list[Host] = []
 
     async def async_start(self, place: Place) -> None:
         """Start a process in a thread."""
-        # Logs are not made for several threads.
+        # An EventLog is not thread-safe, so each thread gets its own.
         sink = os.open(os.devnull, os.O_WRONLY)
         log = EventLog(place.settings.name, self.clock, sink)
         self.hosts.append(Host(self, place, log))
@@ -106,7 +106,7 @@
         await asyncio.to_thread(host.end)
 
     def is_all_ready(self) -> bool:
-        """Tell whether every process is up and every key held."""
+        """Return whether all processes are started and all keys held."""
         started = all(place.process is not None for place in self.places)
         return started and self.is_every_key_held()
 
@@ -114,7 +114,7 @@
 async def async_load(
     rig: CpuRig, pool: Pool, place: Place, key: int, count: int, method: str
 ) -> Counter[int]:
-    """Send requests evenly; return how often each status came."""
+    """Send requests at a constant rate; return the count of each status."""
     statuses: Counter[int] = Counter()
     body = b'x' * 200 if method == 'POST' else b''
     path = '/cases/1' if method == 'POST' else '/read/1'
@@ -137,19 +137,19 @@
 
 
 async def async_measure(rig: CpuRig, name: str, act, per: int) -> None:
-    """Print what each process uses while something goes on."""
+    """Print the processor time of each process per unit of a workload."""
     before = [host.cpu_s for host in rig.hosts]
-    said = await act()
-    used = [
+    summary = await act()
+    used_us = [
         (host.cpu_s - was) / per * MICROS
         for host, was in zip(rig.hosts, before, strict=True)
     ]
-    row = ' '.join(f'{each:10.0f}' for each in used)
-    print(f'{name:32}{row}   {said or ""}')
+    row = ' '.join(f'{each:10.0f}' for each in used_us)
+    print(f'{name:32}{row}   {summary or ""}')
 
 
 async def async_profile(rig: CpuRig, act, number: int, order: str) -> None:
-    """Print where one process spends its time while something goes on."""
+    """Print a profile of one process during a workload."""
     host = rig.hosts[number]
     host.call(host.profile.enable)
     await act()
@@ -161,7 +161,7 @@
 
 
 def _print_modules(stats: pstats.Stats) -> None:
-    """Print the time spent in each module's own code."""
+    """Print the share of time spent in the code of each module."""
     spent: Counter[str] = Counter()
     for (path, _, _), figures in stats.stats.items():
         spent['/'.join(path.rsplit('/', 2)[-2:])] += figures[2]
@@ -173,7 +173,7 @@
 async def async_main(
     count: int, profile: str, order: str, *, rests: bool
 ) -> None:
-    """Measure, or profile one way."""
+    """Measure all request paths, or profile one."""
     async with CpuRig(NET) as rig:
         for _ in range(2):
             await rig.async_add(KEYED)
--- a/bench/failover.py
+++ b/bench/failover.py
@@ -1,4 +1,4 @@
-"""The gap after the loss of an owner, broken into its terms."""
+"""Measure the phases of failover after the loss of an owner."""
 
 import asyncio
 import json
@@ -16,22 +16,22 @@
 from plantaingrade.http.pool import ConnectFailedError, Pool
 
 RUNS = 5
-ASK_EVERY_S = 0.01
-LOST = (ChannelClosedError, ConnectFailedError, TimeoutError)
+POLL_INTERVAL_S = 0.01
+CONNECTION_ERRORS = (ChannelClosedError, ConnectFailedError, TimeoutError)
 
 
 async def ask(pool: Pool, address: str, target: str) -> dict[str, object]:
-    """Return the JSON that a process answers, or nothing."""
+    """Return the JSON response of a process, or an empty dict."""
     try:
         async with asyncio.timeout(0.5):
             reply = await fetch(pool, Call('GET', address, target))
-    except LOST:
+    except CONNECTION_ERRORS:
         return {}
     return json.loads(reply.body) if reply.status == 200 else {}
 
 
-async def one_loss(deployment: Deployment) -> dict[str, float]:
-    """Kill an owner and its server; return each term in seconds."""
+async def measure_loss(deployment: Deployment) -> dict[str, float]:
+    """Kill an owner and its server; return the phases in seconds."""
     clock = BootClock()
     with tempfile.TemporaryDirectory() as folder:
         with Cluster(deployment, Path(folder)) as cluster:
@@ -41,25 +41,25 @@
                 deployment.servers[0],
                 'owner of 1 in casebook',
             )
-            owner = _named(deployment, answer['owner']['server'])
-            heir = _named(
+            owner = _find_server(deployment, answer['owner']['server'])
+            successor = _find_server(
                 deployment, answer['slice']['successor'].split('#')[0]
             )
             cluster.signal(f'node {owner.name}', signal.SIGKILL)
             cluster.signal(f'backend {owner.name}', signal.SIGKILL)
             killed_at = clock.now()
-            return await _watch(clock, heir, killed_at)
+            return await _measure_phases(clock, successor, killed_at)
 
 
-async def _watch(
+async def _measure_phases(
     clock: BootClock,
-    heir: ServerSpec,
+    successor: ServerSpec,
     killed_at: float,
 ) -> dict[str, float]:
     pool = Pool(clock, '127.3.0.4')
-    address = f'{heir.host}:7000'
+    address = f'{successor.host}:7000'
     while not await ask(pool, address, '/casebook/1'):
-        await asyncio.sleep(ASK_EVERY_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     answered_at = clock.now()
     status = await ask(pool, address, '/-/status')
     takeover = status['last_takeover']
@@ -71,23 +71,23 @@
     }
 
 
-def _named(deployment: Deployment, name: str) -> ServerSpec:
+def _find_server(deployment: Deployment, name: str) -> ServerSpec:
     return next(each for each in deployment.servers if each.name == name)
 
 
 async def main() -> None:
-    """Lose an owner several times, for both kinds of server."""
+    """Measure servers with and without fence checks several times each."""
     for checks in (True, False):
-        losses = [
-            await one_loss(small_deployment(checks_fence=checks))
+        runs = [
+            await measure_loss(small_deployment(checks_fence=checks))
             for _ in range(RUNS)
         ]
-        terms = {
-            name: [round(median(figures), 3), round(max(figures), 3)]
-            for name in losses[0]
-            if (figures := [loss[name] for loss in losses])
+        phases = {
+            name: [round(median(durations), 3), round(max(durations), 3)]
+            for name in runs[0]
+            if (durations := [run[name] for run in runs])
         }
-        print(json.dumps({'checks_fence': checks, 'median_and_max': terms}))
+        print(json.dumps({'checks_fence': checks, 'median_and_max': phases}))
 
 
 if __name__ == '__main__':
--- a/bench/leases.py
+++ b/bench/leases.py
@@ -1,7 +1,7 @@
-"""What leases cost a node, for three designs, against the number of nodes.
+"""Compare the cost of leases per node for three designs by cluster size.
 
-Witnesses: renewals by datagram at three witnesses, five times a second.
-Table: one conditional write to the table service a second.
+Witnesses: renewals by datagram with three witnesses, five times a second.
+Table: one conditional write to the table service per second.
 Decider: one gRPC call to a single granting process five times a second.
 """
 
@@ -26,7 +26,7 @@
 
 SECONDS = 4.0
 SIZES = (10, 20, 40, 80)
-TWO_YEARS = 530
+TWO_YEAR_NODES = 530
 TABLE = '127.0.0.1:9600'
 STORE = '127.0.0.1:9601'
 RPC_PORT = 9602
@@ -70,7 +70,7 @@
     state: MapState,
     clock: BootClock,
 ) -> tuple[DatagramEndpoint, LeaseCoordinator]:
-    """Return a member's leases on a socket of their own."""
+    """Return the leases of a member, with a separate socket."""
     received: list[LeaseCoordinator] = []
     endpoint = DatagramEndpoint(lambda message: received[0].on_message(message))
     host, _, port = row.udp.rpartition(':')
@@ -81,7 +81,7 @@
 
 
 async def witnesses(nodes: int) -> Cost:
-    """Run every member's leases in this process, over real sockets."""
+    """Run the leases of all members in this process, over real sockets."""
     state = make_state(nodes)
     clock = BootClock()
     endpoints = []
@@ -91,13 +91,13 @@
         endpoints.append(endpoint)
         members.append(leases)
     await asyncio.sleep(random.random() * RENEW_EVERY_S)
-    began = process_time()
+    started_at = process_time()
     until = clock.now() + SECONDS
     while clock.now() < until:
         for leases in members:
             leases.tick()
         await asyncio.sleep(0.02)
-    cpu = process_time() - began
+    cpu = process_time() - started_at
     held = sum(leases.expires_at() > clock.now() for leases in members)
     assert held == nodes, 'leases were lost; the machine was too slow'
     for endpoint in endpoints:
@@ -113,7 +113,10 @@
 
 
 async def table(nodes: int) -> Cost:
-    """Renew every lease by a write each second; the stand-in's share too."""
+    """Renew each lease by one write per second.
+
+    The result includes the cost of the stand-in of the table service.
+    """
     clock = BootClock()
     serving = asyncio.create_task(async_serve(TABLE, STORE))
     await asyncio.sleep(0.2)
@@ -121,32 +124,32 @@
         client = TableClient(pool, TABLE, 'leases')
         for number in range(nodes):
             await client.async_put_new(Row('lease', number, 'x' * 100, 1))
-        began = process_time()
+        started_at = process_time()
         for turn in range(1, int(SECONDS) + 1):
             for number in range(nodes):
                 row = Row('lease', number, 'x' * 100, turn + 1)
                 await client.async_replace(row, turn)
-        cpu = process_time() - began
+        cpu = process_time() - started_at
     serving.cancel()
     return Cost('table', nodes, cpu / SECONDS / nodes)
 
 
 async def decider(nodes: int) -> Cost:
-    """Ask one process over gRPC; both ends run in this process."""
+    """Call a process over gRPC; client and server run in this process."""
     server = make_server(JournalCoordinator(None, None, 'decider'))
     await server.start('127.0.0.1', RPC_PORT)
     calls = int(nodes / RENEW_EVERY_S)
-    began = process_time()
+    started_at = process_time()
     for _ in range(calls):
         await async_pull(f'127.0.0.1:{RPC_PORT}', 0)
-    cpu = process_time() - began
+    cpu = process_time() - started_at
     server.close()
     await server.wait_closed()
     return Cost('decider', nodes, cpu / nodes)
 
 
 def codec_us() -> float:
-    """Return the cost of encoding and decoding one renewal."""
+    """Return the processor time for encoding and decoding a renewal."""
     from bench.measure import cpu_us  # noqa: WPS433
     from plantaingrade.leases.entity import Renew  # noqa: WPS433
 
@@ -164,7 +167,7 @@
 
 
 async def main() -> None:
-    """Measure every design at every size, and extend the lines."""
+    """Measure each design at each size, and extrapolate to two years."""
     for design in (witnesses, table, decider):
         costs = [await design(size) for size in SIZES]
         for cost in costs:
@@ -178,7 +181,7 @@
                 {
                     'design': costs[0].design,
                     'cpu_us_per_node_and_s': line.slope * MICROS,
-                    'cores_at_530_nodes_together': line.at(TWO_YEARS),
+                    'cores_at_530_nodes_together': line.at(TWO_YEAR_NODES),
                 }
             ),
         )
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -1,4 +1,4 @@
-"""Processor time, memory, and straight lines through measurements."""
+"""Measure processor time and memory, and fit lines to measurements."""
 
 import os
 import tracemalloc
@@ -15,32 +15,32 @@
 
 @dataclass(slots=True, frozen=True)
 class Line:
-    """A straight line: figure = base + slope * size."""
+    """A linear function: value = base + slope * size."""
 
     base: float
     slope: float
 
     @classmethod
     def through(cls, sizes: list[float], figures: list[float]) -> 'Line':
-        """Fit by least squares."""
+        """Fit a line by least squares."""
         slope, base = np.polyfit(sizes, figures, 1)
         return cls(float(base), float(slope))
 
     def at(self, size: float) -> float:
-        """Return the figure at a size."""
+        """Return the value at a size."""
         return self.base + self.slope * size
 
 
 def cpu_us(work: Callable[[], Any], times: int) -> float:
-    """Return the processor time of one call in microseconds."""
-    began = process_time()
+    """Return the mean processor time of a call in microseconds."""
+    started_at = process_time()
     for _ in range(times):
         work()
-    return (process_time() - began) / times * MICROS
+    return (process_time() - started_at) / times * MICROS
 
 
 def allocated(build: Callable[[], Any]) -> tuple[int, Any]:
-    """Return the bytes that a built object holds, and the object."""
+    """Return the bytes allocated by building an object, and the object."""
     tracemalloc.start()
     built = build()
     size, _ = tracemalloc.get_traced_memory()
@@ -56,7 +56,7 @@
 
 
 def resident_mb(pid: int) -> float:
-    """Return a process's resident memory in MB, from procfs."""
+    """Return the resident memory of a process in MB, from procfs."""
     with open(f'/proc/{pid}/statm') as statm:
         pages = int(statm.read().split()[1])
     return pages * os.sysconf('SC_PAGE_SIZE') / MICROS
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,4 +1,7 @@
-"""What a request costs: direct, forwarded, straight, and its messages alone."""
+"""Measure the cost of requests: straight, direct and forwarded.
+
+Also measures the minimum cost of parsing and encoding their messages.
+"""
 
 import asyncio
 import json
@@ -30,8 +33,8 @@
 
 
 @dataclass(slots=True)
-class Figures:
-    """One way to the answer."""
+class PathMeasurement:
+    """Measurements of one request path."""
 
     way: str
     requests_per_s: float
@@ -41,7 +44,7 @@
 
 
 def messages_floor_us() -> float:
-    """Return HTTP's share: write and read one request and answer both ways."""
+    """Return the processor time to encode and parse an HTTP exchange."""
     request = Request.build(
         'GET', '/casebook/1', [('host', 'x'), ('x-request-id', 'abc')]
     )
@@ -49,37 +52,38 @@
 
     def hop() -> None:
         caller = Connection(Role.CLIENT, MAX_HEAD_BYTES)
-        near = Connection(Role.SERVER, MAX_HEAD_BYTES)
+        server = Connection(Role.SERVER, MAX_HEAD_BYTES)
         raw = caller.send(request) + caller.send(EndOfMessage())
-        near.receive(raw)
-        near.next_event()
-        near.next_event()
-        raw = near.send(response) + near.send(Data(ANSWER))
-        raw += near.send(EndOfMessage())
+        server.receive(raw)
+        server.next_event()
+        server.next_event()
+        raw = server.send(response) + server.send(Data(ANSWER))
+        raw += server.send(EndOfMessage())
         caller.receive(raw)
         for _ in range(3):
             caller.next_event()
 
-    # A proxy is the server of one such exchange and the client of another.
+    # A proxy is the server of one exchange and the client of another, so the
+    # cost of both sides of an exchange applies to it.
     return cpu_us(hop, 3000)
 
 
-async def drive(address: str, target: str, count: int) -> list[float]:
-    """Send requests from several callers; return each one's seconds."""
+async def send_requests(address: str, target: str, count: int) -> list[float]:
+    """Send requests from several callers; return durations in seconds."""
     pool = Pool(BootClock(), '127.3.0.3')
-    spent: list[float] = []
+    durations: list[float] = []
 
     async def caller() -> None:
         call = Call('GET', address, target, (('x-request-id', 'bench'),))
         for _ in range(count // CALLERS):
-            began = perf_counter()
+            started_at = perf_counter()
             await fetch(pool, call)
-            spent.append(perf_counter() - began)
+            durations.append(perf_counter() - started_at)
 
     async with asyncio.TaskGroup() as group:
         for _ in range(CALLERS):
             group.create_task(caller())
-    return spent
+    return durations
 
 
 async def measure(
@@ -88,25 +92,25 @@
     address: str,
     target: str,
     nodes: list[str],
-) -> Figures:
-    """Measure one way."""
-    await drive(address, target, 200)
+) -> PathMeasurement:
+    """Measure one request path."""
+    await send_requests(address, target, 200)
     pids = [cluster.pid(f'node {name}') for name in nodes]
     before = sum(map(process_cpu_s, pids))
-    began = perf_counter()
-    spent = sorted(await drive(address, target, REQUESTS))
-    took = perf_counter() - began
+    started_at = perf_counter()
+    durations = sorted(await send_requests(address, target, REQUESTS))
+    elapsed_s = perf_counter() - started_at
     cpu = sum(map(process_cpu_s, pids)) - before
-    return Figures(
+    return PathMeasurement(
         way,
-        len(spent) / took,
-        spent[len(spent) // 2] * 1000,
-        spent[len(spent) * 99 // 100] * 1000,
-        cpu / len(spent) * MICROS,
+        len(durations) / elapsed_s,
+        durations[len(durations) // 2] * 1000,
+        durations[len(durations) * 99 // 100] * 1000,
+        cpu / len(durations) * MICROS,
     )
 
 
-async def idle(cluster: Cluster, names: list[str]) -> float:
+async def measure_idle(cluster: Cluster, names: list[str]) -> float:
     """Return the share of a core that a process uses without requests."""
     pids = [cluster.pid(f'node {name}') for name in names]
     before = sum(map(process_cpu_s, pids))
@@ -139,7 +143,7 @@
 
 
 async def main() -> None:
-    """Measure every way in one run."""
+    """Measure all request paths in one run."""
     deployment = small_deployment()
     with tempfile.TemporaryDirectory() as folder:
         with Cluster(deployment, Path(folder), work_ms=0.01) as cluster:
@@ -155,29 +159,38 @@
                 if each.name == answer['owner']['server']
             )
             other = next(each for each in servers if each is not owner)
-            plain = f'{owner.host}:7000'
-            away = f'{other.host}:7000'
-            figures = [
+            owner_address = f'{owner.host}:7000'
+            other_address = f'{other.host}:7000'
+            measurements = [
                 await measure(
                     cluster, 'straight', owner.backend, '/casebook/1', []
                 ),
                 await measure(
-                    cluster, 'direct', plain, '/casebook/1', [owner.name]
+                    cluster,
+                    'direct',
+                    owner_address,
+                    '/casebook/1',
+                    [owner.name],
                 ),
                 await measure(
                     cluster,
                     'forwarded',
-                    away,
+                    other_address,
                     '/casebook/1',
                     [owner.name, other.name],
                 ),
             ]
-            idle_share = await idle(cluster, [each.name for each in servers])
+            idle_share = await measure_idle(
+                cluster, [each.name for each in servers]
+            )
             memory = resident_mb(cluster.pid(f'node {owner.name}'))
-    for each in figures:
+    for each in measurements:
         print(
             json.dumps(
-                {**asdict(each), 'of_straight': each.p50_ms / figures[0].p50_ms}
+                {
+                    **asdict(each),
+                    'of_straight': each.p50_ms / measurements[0].p50_ms,
+                }
             )
         )
     print(
--- a/bench/platform.py
+++ b/bench/platform.py
@@ -1,7 +1,7 @@
-"""Cost of the process on the platform: latency, CPU, bytes, calls, memory.
+"""Measure latency, CPU, bytes, store calls and memory on the platform.
 
-All figures of one run are taken beside each other on one machine, so ratios
-hold where absolute values drift. Run by ``make bench``.
+All values of a run are measured together on one machine, so ratios are
+comparable between runs even if absolute values drift. Run by ``make bench``.
 """
 
 import asyncio
@@ -35,7 +35,7 @@
 
 REQUESTS = 400
 BLOCK = 200
-REST_S = 20.0
+IDLE_S = 20.0
 SETTLE_S = 4.0
 BODY_BYTES = 400
 CALLER_HEADERS = (
@@ -46,11 +46,11 @@
 )
 
 
-async def async_times(
+async def async_latencies(
     pool: Pool, address: str, path: str, key: int, instance: str = ''
 ) -> list[float]:
-    """Return the latency of requests, one after the other, in ms."""
-    took = []
+    """Send requests sequentially and return their latencies in ms."""
+    latencies = []
     loop = asyncio.get_running_loop()
     for number in range(REQUESTS):
         headers = [
@@ -61,48 +61,48 @@
         if instance:
             headers.append(('expect-instance', instance))
         call = Call('GET', address, path, tuple(headers), b'', HOST)
-        began = loop.time()
+        started_at = loop.time()
         reply = await fetch(pool, call)
         assert reply.status == 200, reply
-        took.append((loop.time() - began) * 1000)
-    return took
+        latencies.append((loop.time() - started_at) * 1000)
+    return latencies
 
 
-async def async_path() -> None:
-    """Compare requests to the server with those through processes."""
+async def async_measure_paths() -> None:
+    """Compare requests sent to the server directly and through processes."""
     folder = Path(tempfile.mkdtemp(prefix='plantaingrade-bench-'))
-    with Cluster(2, BLOCK, folder, work_ms=0) as world:
-        assert await world.async_start()
+    with Cluster(2, BLOCK, folder, work_ms=0) as cluster:
+        assert await cluster.async_start()
         await asyncio.sleep(SETTLE_S)
-        first, second = world.instances
+        first, second = cluster.instances
         routers = [
-            world.pid(f'router-{spot.number}') for spot in world.instances
+            cluster.pid(f'router-{spot.number}') for spot in cluster.instances
         ]
-        with Pool(world.clock) as pool:
-            straight = await async_times(
+        with Pool(cluster.clock) as pool:
+            straight = await async_latencies(
                 pool, f'{first.ip}:18145', '/read/1', 0
             )
             before = sum(map(process_cpu_s, routers))
-            own = await async_times(pool, first.callers, '/read/1', 0)
+            own = await async_latencies(pool, first.callers, '/read/1', 0)
             between = sum(map(process_cpu_s, routers))
-            other = await async_times(pool, second.callers, '/read/1', 0)
+            other = await async_latencies(pool, second.callers, '/read/1', 0)
             after = sum(map(process_cpu_s, routers))
         memory = max(map(resident_mb, routers))
     base = statistics.median(straight)
     print('path of a request      median ms   ratio   CPU us a request')
     print(f'server, straight    {base:12.2f}{1:8.2f}')
-    for name, took, cpu in (
+    for name, latencies, cpu in (
         ('own process', own, between - before),
         ('one other process', other, after - between),
     ):
-        median = statistics.median(took)
+        median = statistics.median(latencies)
         per_request = cpu / REQUESTS * 1e6
         print(f'{name:20}{median:12.2f}{median / base:8.2f}{per_request:12.0f}')
     print(f'memory of a process {memory:12.1f} MB')
 
 
 def print_bytes() -> None:
-    """Print what one request takes between two processes."""
+    """Print the bytes of a request and response between two processes."""
     caller = CallerRequest(
         b'9c41d07be2a35f68',
         b'GET',
@@ -135,29 +135,29 @@
     server = Connection(Role.SERVER, MAX_HEAD_BYTES)
     server.receive(raw)
     server.next_event()
-    got = len(server.send(response))
-    print(f'bytes between processes: request {sent}, answer {got} + body')
+    received = len(server.send(response))
+    print(f'bytes between processes: request {sent}, answer {received} + body')
 
 
-async def async_rest(count: int) -> None:
-    """Count calls to the store while nothing is asked for."""
+async def async_measure_idle(count: int) -> None:
+    """Print the rate of store calls while no requests are sent."""
     folder = Path(tempfile.mkdtemp(prefix='plantaingrade-bench-'))
-    with Cluster(count, BLOCK, folder) as world:
-        assert await world.async_start()
+    with Cluster(count, BLOCK, folder) as cluster:
+        assert await cluster.async_start()
         await asyncio.sleep(SETTLE_S)
-        first = await async_count(world)
-        await asyncio.sleep(REST_S)
-        last = await async_count(world)
-    calls = (last['calls'] - first['calls']) / REST_S
-    sent = (last['bytes'] - first['bytes']) / REST_S
+        first = await async_count(cluster)
+        await asyncio.sleep(IDLE_S)
+        last = await async_count(cluster)
+    calls = (last['calls'] - first['calls']) / IDLE_S
+    sent = (last['bytes'] - first['bytes']) / IDLE_S
     print(f'{count:5} processes at rest: {calls:8.1f} calls/s {sent:10.0f} B/s')
 
 
-async def async_count(world: Cluster) -> dict[str, int]:
-    """Return what the store has counted."""
+async def async_count(cluster: Cluster) -> dict[str, int]:
+    """Return the counters of the store."""
     body = json.dumps({'count': True}).encode()
-    call = Call('POST', world.store, '/-/fault', (), body)
-    with Pool(world.clock) as pool:
+    call = Call('POST', cluster.store, '/-/fault', (), body)
+    with Pool(cluster.clock) as pool:
         reply = await fetch(pool, call)
     return json.loads(reply.body)
 
@@ -165,11 +165,11 @@
 @click.command()
 @click.option('--count', multiple=True, type=int, default=(10, 30))
 def main(count: tuple[int, ...]) -> None:
-    """Measure the path, the bytes of a hop, and calls at rest."""
-    asyncio.run(async_path())
+    """Measure request paths, bytes of a hop and store calls when idle."""
+    asyncio.run(async_measure_paths())
     print_bytes()
     for each in count:
-        asyncio.run(async_rest(each))
+        asyncio.run(async_measure_idle(each))
 
 
 if __name__ == '__main__':
--- a/bench/rebirth.py
+++ b/bench/rebirth.py
@@ -1,9 +1,9 @@
-"""Keys unserved after servers start again, and what the new fences cost.
+"""Measure unserved keys after server restarts, and the cost of new fences.
 
-Members, their grants and the store's transactions are the product's; store and
-servers are the stand-ins in memory of ``tests/holds``, on virtual time, so the
-figures are the same in every run. Nobody is told of a restart: no heartbeat, no
-closed connection. What tells of it in practice only shortens the gap.
+Members, grants and store transactions run the production code. Store and
+servers are the in-memory fakes of ``tests/holds`` on virtual time, so results
+are the same in every run. Members get no notice of a restart, neither by a
+heartbeat nor by a closed connection; in practice such notices shorten the gap.
 """
 
 import asyncio
@@ -19,15 +19,15 @@
 MEMBERS = 20
 RESTARTS = 40
 DOWN_S = (0.05, 0.3)
-SETTLED_S = 10.0
+SETTLE_S = 10.0
 PAUSE_S = 3.0
-LOOK_S = 0.01
-GIVEN_UP_S = 30.0
+POLL_INTERVAL_S = 0.01
+GAP_LIMIT_S = 30.0
 
 
 @dataclass(slots=True)
-class Rebirths:
-    """Gaps until all keys are held again, in seconds, and costs a life."""
+class RestartCosts:
+    """Gaps until all keys are held again, and the cost per incarnation."""
 
     median_s: float
     worst_s: float
@@ -35,53 +35,56 @@
     grants: float
 
 
-def crash(place: FakeMember) -> None:
-    """End a server's life."""
-    place.server.is_up = False
-    place.server.holds.clear()
+def crash(member: FakeMember) -> None:
+    """End the current incarnation of a server."""
+    member.server.is_up = False
+    member.server.holds.clear()
 
 
-def start(world: FakeCluster, place: FakeMember) -> None:
-    """Begin its next life."""
-    place.server = world.add_server()
-    place.orders.server = place.server
+def start(cluster: FakeCluster, member: FakeMember) -> None:
+    """Start the next incarnation of a server."""
+    member.server = cluster.add_server()
+    member.orders.server = member.server
 
 
-async def async_gap(world: FakeCluster, places: list[FakeMember]) -> float:
-    """Restart servers; return how long keys are then unheld."""
-    for place in places:
-        crash(place)
+async def async_gap(cluster: FakeCluster, members: list[FakeMember]) -> float:
+    """Restart servers; return the seconds until all keys are held again."""
+    for member in members:
+        crash(member)
     await asyncio.sleep(random.uniform(*DOWN_S))
-    for place in places:
-        start(world, place)
+    for member in members:
+        start(cluster, member)
     loop = asyncio.get_running_loop()
-    began = loop.time()
-    while world.held_keys() < KEY_COUNT and loop.time() < began + GIVEN_UP_S:
-        await asyncio.sleep(LOOK_S)
-    return loop.time() - began
+    started_at = loop.time()
+    while (
+        cluster.held_keys() < KEY_COUNT
+        and loop.time() < started_at + GAP_LIMIT_S
+    ):
+        await asyncio.sleep(POLL_INTERVAL_S)
+    return loop.time() - started_at
 
 
-async def async_measure(at_once: int) -> Rebirths:
-    """Restart some servers at once, several times."""
+async def async_measure(at_once: int) -> RestartCosts:
+    """Restart several servers at once, repeatedly."""
     random.seed(1)
-    world = FakeCluster(1)
+    cluster = FakeCluster(1)
     for number in range(MEMBERS):
-        world.add(f'm{number}')
-    await asyncio.sleep(SETTLED_S)
+        cluster.add(f'm{number}')
+    await asyncio.sleep(SETTLE_S)
     gaps = []
     transactions = 0
     grants = 0
     for _ in range(RESTARTS):
         await asyncio.sleep(PAUSE_S + random.random())
-        places = random.sample(world.members, at_once)
-        version = world.members[0].maps.find('cases').fence
-        gaps.append(await async_gap(world, places))
+        members = random.sample(cluster.members, at_once)
+        version = cluster.members[0].maps.find('cases').fence
+        gaps.append(await async_gap(cluster, members))
         await asyncio.sleep(PAUSE_S)
-        transactions += world.members[0].maps.find('cases').fence - version
-        grants += sum(len(place.server.fences) for place in places)
-    await world.async_stop()
+        transactions += cluster.members[0].maps.find('cases').fence - version
+        grants += sum(len(member.server.fences) for member in members)
+    await cluster.async_stop()
     runs = RESTARTS * at_once
-    return Rebirths(
+    return RestartCosts(
         round(median(gaps), 3),
         round(max(gaps), 3),
         round(transactions / runs, 2),
@@ -90,7 +93,7 @@
 
 
 def main() -> None:
-    """Measure one restart, and that of half of all servers."""
+    """Measure restarts of one server, and of half of all servers."""
     for at_once in (1, MEMBERS // 2):
         found = run(async_measure(at_once))
         print(json.dumps({'at_once': at_once, **asdict(found)}))
--- a/bench/worth.py
+++ b/bench/worth.py
@@ -1,7 +1,7 @@
-"""Draw worth and its largest losses by played day and round.
+"""Plot the worth of played days, and print their largest losses.
 
-Reads the entries of ``journal/`` as they were written, so a figure shows failed
-trials too. Writes ``docs/figures/worth.png`` and a table to standard output.
+Reads all entries of ``journal/``, so the plot includes failed trials. Writes
+``docs/figures/worth.png`` and a table to standard output.
 """
 
 import json
@@ -17,8 +17,8 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 JOURNAL = ROOT / 'journal'
-PICTURE = ROOT / 'docs' / 'figures' / 'worth.png'
-STANDARD = (
+PLOT = ROOT / 'docs' / 'figures' / 'worth.png'
+STANDARD_DAYS = (
     'quiet-1',
     'trouble-1',
     'scale-1',
@@ -33,8 +33,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Play:
-    """One standard day as it was played once."""
+class DayRun:
+    """One run of a standard day."""
 
     at: str
     why: str
@@ -43,25 +43,25 @@
     losses: tuple[tuple[str, float], ...]
 
 
-def read_plays() -> dict[tuple[str, str], list[Play]]:
-    """Return the plays of each standard day by site and day, oldest first."""
-    plays_by_day: dict[tuple[str, str], list[Play]] = defaultdict(list)
+def read_runs() -> dict[tuple[str, str], list[DayRun]]:
+    """Return runs of the standard days by site and day, oldest first."""
+    runs_by_day: dict[tuple[str, str], list[DayRun]] = defaultdict(list)
     for path in sorted(JOURNAL.glob('*.json')):
         entry = json.loads(path.read_text())
         for day in entry['days']:
-            if day['name'] not in STANDARD or day['G'] is None:
+            if day['name'] not in STANDARD_DAYS or day['G'] is None:
                 continue
             name = (entry['site'], day['name'])
-            plays_by_day[name].append(_play(entry, day))
-    return dict(sorted(plays_by_day.items()))
+            runs_by_day[name].append(_read_run(entry, day))
+    return dict(sorted(runs_by_day.items()))
 
 
-def _play(entry: dict, day: dict) -> Play:
+def _read_run(entry: dict, day: dict) -> DayRun:
     losses = sorted(
         ((name, share) for name, _, share in day['prices']),
         key=lambda loss: -loss[1],
     )
-    return Play(
+    return DayRun(
         entry['at'][0],
         entry['why'],
         day['G'],
@@ -70,9 +70,9 @@
     )
 
 
-def draw(plays_by_day: dict[tuple[str, str], list[Play]]) -> None:
-    """Draw a panel for each day: worth by play, broken days marked."""
-    rows = -(-len(plays_by_day) // COLUMNS)
+def draw(runs_by_day: dict[tuple[str, str], list[DayRun]]) -> None:
+    """Plot the worth by run for each day; mark runs that broke a rule."""
+    rows = -(-len(runs_by_day) // COLUMNS)
     figure, panels = pyplot.subplots(
         rows,
         COLUMNS,
@@ -81,34 +81,34 @@
         sharey=True,
     )
     flat = [panel for row in panels for panel in row]
-    for panel, (name, plays) in zip(flat, plays_by_day.items(), strict=False):
-        worths = [play.worth for play in plays]
-        panel.plot(range(len(worths)), worths, marker='.')
-        broken = [place for place, play in enumerate(plays) if play.is_broken]
-        panel.plot(broken, [worths[place] for place in broken], 'rx')
+    for panel, (name, runs) in zip(flat, runs_by_day.items(), strict=False):
+        worth_by_run = [run.worth for run in runs]
+        panel.plot(range(len(worth_by_run)), worth_by_run, marker='.')
+        broken = [place for place, run in enumerate(runs) if run.is_broken]
+        panel.plot(broken, [worth_by_run[place] for place in broken], 'rx')
         panel.set_title(' '.join(name))
         panel.set_ylabel('worth')
-    for panel in flat[len(plays_by_day) :]:
+    for panel in flat[len(runs_by_day) :]:
         panel.set_axis_off()
     figure.supxlabel('play, in the order played; x: a rule was broken')
     figure.tight_layout()
-    PICTURE.parent.mkdir(exist_ok=True)
-    figure.savefig(PICTURE)
+    PLOT.parent.mkdir(exist_ok=True)
+    figure.savefig(PLOT)
 
 
 def main() -> None:
-    """Write the picture and the table of newest plays."""
-    plays_by_day = read_plays()
-    draw(plays_by_day)
+    """Write the plot and the table of the newest runs."""
+    runs_by_day = read_runs()
+    draw(runs_by_day)
     print('| site | day | first | newest | largest losses of the newest |')
     print('| --- | --- | --- | --- | --- |')
-    for (site, day), plays in plays_by_day.items():
-        newest = plays[-1]
+    for (site, day), runs in runs_by_day.items():
+        newest = runs[-1]
         losses = ', '.join(
             f'{name} {share:.3f}' for name, share in newest.losses
         )
         print(
-            f'| {site} | {day} | {plays[0].worth:.3f} | {newest.worth:.3f} '
+            f'| {site} | {day} | {runs[0].worth:.3f} | {newest.worth:.3f} '
             f'| {losses} |'
         )
 
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Tools of the developers."""
+"""Tools for developers."""
--- a/tools/binary.py
+++ b/tools/binary.py
@@ -1,8 +1,8 @@
-"""Build the one-file zip application.
+"""Build the single-file zip application.
 
-Compiled modules go in as they are, and are imported from memory when it runs:
-nothing is unpacked, and no child process is started. They make the file one
-for an interpreter's version and a kind of machine.
+It contains compiled modules, which are imported from memory at run time:
+nothing is unpacked and no child process is started. Because of them, the file
+works only with one Python version and machine architecture.
 """
 
 import shutil
@@ -14,14 +14,14 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 TARGET = ROOT / 'dist' / 'plantaingrade.pyz'
-SOURCES = ('*.pyd', '*.c', '*.h', '*.pyx')
-# Compiled parts of libraries that do without them.
-OPTIONAL = ('yaml/_yaml*.so', 'multidict/*.so')
-LEFT_OUT = ('bin', '__pycache__')
+SOURCE_PATTERNS = ('*.pyd', '*.c', '*.h', '*.pyx')
+# Compiled modules of libraries that also work without them.
+OPTIONAL_MODULES = ('yaml/_yaml*.so', 'multidict/*.so')
+EXCLUDED_FOLDERS = ('bin', '__pycache__')
 
 
 def main() -> None:
-    """Install what the process needs into a folder, and zip it."""
+    """Install the package with its dependencies into a folder, and zip it."""
     with tempfile.TemporaryDirectory() as folder:
         subprocess.run(
             [
@@ -51,11 +51,11 @@
 
 
 def strip(folder: Path) -> None:
-    """Remove what a process never needs."""
-    for pattern in (*SOURCES, *OPTIONAL):
+    """Remove files that are not needed at run time."""
+    for pattern in (*SOURCE_PATTERNS, *OPTIONAL_MODULES):
         for path in folder.rglob(pattern):
             path.unlink()
-    for name in LEFT_OUT:
+    for name in EXCLUDED_FOLDERS:
         for path in folder.rglob(name):
             if path.is_dir():
                 shutil.rmtree(path)
