--- a/plantaingrade/sidecar/process.py
+++ b/plantaingrade/sidecar/process.py
@@ -193,7 +193,7 @@
             self._loads,
             PeerHooks(
                 self._service_names,
-                lambda desired: self._operators.follow(desired),
+                lambda desired: self._operators.apply_desired_state(desired),
                 lambda digests: self._server_path.record_crash(digests),
                 lambda kind, priority: self._server_path.free_capacity(
                     kind, priority
@@ -220,7 +220,7 @@
         )
         self._maps.listen(lambda service, _: self.holds.on_map(service))
         self._evacuations = Evacuations(self._adapter.evacuation_prefix)
-        self._config.add_row_listener(self._evacuations.take)
+        self._config.add_row_listener(self._evacuations.on_rows)
 
     def _build_paths(self) -> None:
         self._gate = Gate.from_slots(INITIAL_SLOTS, self._clock)
